--- a/decide/api.go
+++ b/decide/api.go
@@ -1,27 +1,27 @@
-// Package decide makes the decisions of a client-side load balancer that runs as a sidecar beside one
-// calling process. It is plain data in, plain data out: a caller makes a Balancer with New and hands it
-// one Event after another; Handle returns the Actions to carry out. The package reads no clock, starts no
-// goroutine and does no I/O; time is a Duration on the caller's own clock, which must never go back.
+// Package decide makes the decisions of a client-side load balancer that runs as a sidecar beside one client
+// process. The caller creates a Balancer with New and passes it one Event after another; Handle returns the
+// Actions to carry out. The package reads no clock, starts no goroutine and does no I/O. Times are durations
+// on the caller's clock, which must never go back.
 //
-// This file is the interface and decides nothing. The decisions begin in decide.go, which names their files.
+// This file holds the types of the API. The decisions start in decide.go, which lists the other files.
 package decide
 
 import "time"
 
-// ServerID names a server. It is opaque: it tells nothing of the zone, kind or age of a server.
+// ServerID identifies a server. It is opaque: zone, kind or age cannot be derived from it.
 type ServerID uint32
 
-// State is what discovery says of a server.
+// State is the state of a server as listed by discovery.
 type State uint8
 
-// The states of a server.
+// States of a server.
 const (
 	Gone     State = 0
 	Draining State = 1
 	Ready    State = 2
 )
 
-// Server is one entry of the list of servers.
+// Server is one entry of the server list.
 type Server struct {
 	ID      ServerID
 	Started time.Duration // when its process last started; 0 means long ago
@@ -29,124 +29,125 @@
 	Cell    int
 	State   State
 	Kind    int
-	Nominal float64 // a size to set against other servers' sizes; Config.Weights says what it is worth
+	Nominal float64 // size relative to other servers; Config.Weights defines its meaning
 }
 
-// Effect says whether a request of a class may run again.
+// Effect defines whether a request of a class may run more than once.
 type Effect uint8
 
-// The effects of a class.
+// Effects of a class.
 const (
-	Safe   Effect = iota // may be repeated anywhere at any time
-	Keyed                // a repeat is dropped inside Group and within Window
+	Safe   Effect = iota // may run any number of times on any server
+	Keyed                // repeats are deduplicated inside Group and within Window
 	Unsafe               // must not run twice
 )
 
-// Group is the set of servers that drops the repeats of a keyed request.
+// Group is the set of servers that deduplicates a keyed request.
 type Group uint8
 
-// The groups of a keyed class.
+// Groups of a keyed class.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
-	Aim        time.Duration // an answer within this earns the full worth
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration // the client's whole patience, over all its tries
+	Aim        time.Duration // latency target: an answer within this time earns the full worth
+	AimStretch float64       // the aim is extended by this multiple of the expected work
+	Deadline   time.Duration // total time that the client waits, over all its tries
 	Worth      float64
-	LateWorth  float64 // share of the worth that an answer after the aim still earns
+	LateWorth  float64 // share of the worth that an answer after the aim earns
 	Effect     Effect
 	Group      Group
 	Window     time.Duration
 	Stream     bool
 }
 
-// Tenant is one customer with a share of the service.
+// Tenant is a customer with a share of the service.
 type Tenant struct {
 	Share float64
-	Quota float64 // requests per second within its share, over all sidecars together
+	Quota float64 // requests per second within its share, over all balancers
 }
 
-// Weights says what Server.Nominal means.
+// Weights defines the meaning of Server.Nominal.
 type Weights uint8
 
-// The meanings of Server.Nominal.
+// Meanings of Server.Nominal.
 const (
 	WeightsNone    Weights = iota // always 1
 	WeightsNominal                // the registered size
-	WeightsRough                  // the size, approximately
-	WeightsLive                   // the size over 1 + requests held per core, from a while back
+	WeightsRough                  // the approximate size
+	WeightsLive                   // size / (1 + requests in progress per core), somewhat out of date
 )
 
-// Reports says how load reports reach the sidecar.
+// Reports defines how load reports arrive.
 type Reports uint8
 
-// The ways of load reports.
+// Sources of load reports.
 const (
 	ReportsNone    Reports = iota
 	ReportsAnswers         // in outcomes and probe results
-	ReportsProbe           // in probe results alone
+	ReportsProbe           // only in probe results
 )
 
-// Safety holds the figures of the four rules.
+// Safety holds the parameters of the four safety rules.
 type Safety struct {
 	AnswerSlack  time.Duration // how long after the deadline a final answer still counts
-	AskWithin    time.Duration // with Subscribe: silence after which old news counts as told
+	AskWithin    time.Duration // with Subscribe: time without a call after which older changes count as known
 	DrainGrace   time.Duration
-	FallMultiple float64       // a server falls over when sent more than this times its present capacity
-	TipAfter     time.Duration // for this long
-	StartShare   float64       // a server starts with at least this share of its capacity
-	WarmAfter    time.Duration // and is warm within this time
+	FallMultiple float64       // a server fails when it gets more than this multiple of its present capacity
+	TipAfter     time.Duration // for this time
+	StartShare   float64       // a new server has at least this share of its full capacity
+	WarmAfter    time.Duration // and the full capacity after this time
 }
 
-// latestTold is when a change counts as told, after discovery had it and could be reached, whatever failed between.
-const latestTold = 6 * time.Second
+// maxPropagationDelay is the time after which a balancer has to know of a change that discovery can be
+// asked for, whatever failures happen in between.
+const maxPropagationDelay = 6 * time.Second
 
-// ToldWithin is the time within which a sidecar has to learn of a change that discovery has and can be asked for: after
-// it the change counts as told, whatever became of calls meanwhile.
+// ToldWithin is the time within which a balancer has to learn of a change once discovery has it and can be
+// reached. After it the change counts as known, whether or not the calls to discovery succeeded.
 func (s Safety) ToldWithin() time.Duration {
 	if s.AskWithin > 0 {
-		return min(s.AskWithin, latestTold)
+		return min(s.AskWithin, maxPropagationDelay)
 	}
-	return latestTold
+	return maxPropagationDelay
 }
 
-// Limits is what a deployment permits.
+// Limits defines what a deployment permits.
 type Limits struct {
 	Cancel        bool
 	Probe         bool
 	Tell          bool
-	SecondCopies  bool // two attempts of one request may be out together
-	RetryAfter    bool // clients are told Action.Wait
+	SecondCopies  bool // two attempts of one request may be open at once
+	RetryAfter    bool // clients are sent Action.Wait
 	MaxAttempts   int
 	MaxRetryAfter time.Duration
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Prices are penalties in the evaluation, each multiplied by its share or rate.
 type Prices struct {
 	CrossZone, Waste, Probe, LateFail, Handshake, Connection float64
 }
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration of a Balancer.
 type Config struct {
-	Zone      int // the sidecar's own
-	Ordinal   int // its number among Balancers
+	Zone      int // the balancer's own zone
+	Ordinal   int // index of this balancer among Balancers
 	Balancers int
-	Tick      time.Duration // the shortest time between two batches of events
+	Tick      time.Duration // shortest time between two batches of events
 
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64 // the worth of a request past its tenant's share, as a portion
-	WorthByWork    bool    // worth counts for each unit of work, not for each request
+	OverShareWorth float64 // factor on the worth of requests beyond the tenant's share
+	WorthByWork    bool    // worth counts per unit of work instead of per request
 
 	Weights     Weights
-	Subscribe   bool // discovery answers only when asked
+	Subscribe   bool // discovery answers only when called
 	Reports     Reports
-	Columns     []string // the values of a load report, in order
+	Columns     []string // names of the values in a load report, in order
 	MarksRetry  bool
 	Safety      Safety
 	Limits      Limits
@@ -155,63 +156,63 @@
 	ConnectTime time.Duration
 	ConnStreams int
 
-	Marks bool // also give Mark actions
+	Marks bool // also return Mark actions
 }
 
-// Status is how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint16
 
-// The outcomes. Full, ConnectFailed and Moot prove that the attempt never ran.
+// Results. Full, ConnectFailed and Moot prove that the server never ran the attempt.
 const (
 	Errored       Status = 0
 	OK            Status = 1
-	Full          Status = 2
+	Full          Status = 2 // the server rejected the request
 	TimedOut      Status = 3
 	ConnectFailed Status = 4
 	Reset         Status = 5
 	Cancelled     Status = 6
 	Moot          Status = 7
-	Spoilt        Status = 8 // an answer came that nobody can read; what it answers has run
-	Stale         Status = 9 // a connection kept from before broke: it says little of the server, and it may have run
+	Spoilt        Status = 8 // the answer cannot be parsed; the request has run
+	Stale         Status = 9 // a reused connection broke: weak evidence against the server; may have run
 )
 
-// ListKind says what a Members event carries.
+// ListKind defines what a Members event carries.
 type ListKind uint8
 
-// The kinds of list.
+// Kinds of list.
 const (
 	ListFull   ListKind = 0
-	ListFailed ListKind = 1 // a Watch or Fetch failed or the subscription broke; the old list stays
+	ListFailed ListKind = 1 // a Watch or Fetch failed, or the subscription broke; the old list stays valid
 	ListDelta  ListKind = 2
 	ListCached ListKind = 3
-	ListMoved  ListKind = 4 // another discovery answers from now on; the old list stays until its own comes
+	ListMoved  ListKind = 4 // the source of the list changed; the old list stays valid until the next one
 )
 
-// EventKind tells which fields of an Event count.
+// EventKind defines which fields of an Event are set.
 type EventKind uint8
 
-// The events.
+// Kinds of event, with the fields that they set.
 const (
-	Members EventKind = iota + 1 // List, Servers, Version; Status with ListFailed: TimedOut where the call found silence
+	Members EventKind = iota + 1 // List, Servers, Version; Status for ListFailed (TimedOut: no answer)
 	Request                      // ID, Key, Class, Tenant, Budget, Work, Repeat, Write, Long
-	First                        // ID, Attempt, Server, Latency: a streamed answer has begun
+	First                        // ID, Attempt, Server, Latency: the start of a streamed answer arrived
 	Outcome                      // ID, Attempt, Server, Status, Latency, Done, Load, Fresh
-	Left                         // ID: the client gave up, the request is over
+	Left                         // ID: the client gave up; the request is done
 	Probed                       // Server, Status, Latency, Load
 	Timer                        // Token
 	Peer                         // From, Data
 )
 
-// Event is something that happened. Slices are only read, and not kept after Handle returns.
+// Event is an input of the Balancer. Handle only reads its slices and does not keep them.
 type Event struct {
 	Kind    EventKind
 	List    ListKind
 	Status  Status
-	Done    bool // the request is over
-	Repeat  bool // the client says that this is a further try
-	Fresh   bool // a connection was opened for it
+	Done    bool // the request is done
+	Repeat  bool // the client marked this as a retry
+	Fresh   bool // a new connection was opened for it
 	Write   bool
-	Long    bool // its message is still being sent when an attempt begins, for nobody knows how long
+	Long    bool // the client is still sending the body when an attempt starts, for an unknown time
 	Class   int
 	Tenant  int
 	Attempt int
@@ -221,34 +222,34 @@
 	Key     uint64
 	Token   uint64
 	Version uint64
-	Budget  time.Duration // how long until the client gives this try up
-	Work    time.Duration // expected work, 0 where unknown
+	Budget  time.Duration // time until the client gives up this try
+	Work    time.Duration // expected work, 0 if unknown
 	Latency time.Duration
 	Load    []float32
 	Servers []Server
 	Data    []byte
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind defines which fields of an Action are set.
 type ActionKind uint8
 
-// The actions.
+// Kinds of action, with the fields that they set.
 const (
-	Send   ActionKind = iota + 1 // ID, Server, Timeout (0: until the client gives up), Before (no first byte from then on; 0: no such time)
-	Refuse                       // ID, Wait: final; trying again is harmless
-	Fail                         // ID: final; nothing is promised
+	Send   ActionKind = iota + 1 // ID, Server, Timeout (0: until the client gives up), Before (0: no limit)
+	Refuse                       // ID, Wait: final answer; a retry is harmless
+	Fail                         // ID: final answer; the request may have run
 	Cancel                       // ID, Attempt
 	Probe                        // Server
 	Close                        // Server: close idle connections to it
-	Wake                         // Wait, Token: ask for a Timer event
+	Wake                         // Wait, Token: request a Timer event
 	Watch                        // On: subscribe to discovery
-	Fetch                        // ask for the whole list once
-	Tell                         // To, Data: message to a peer, To < 0 for all
-	Log                          // Text: a line for operators
-	Mark                         // Server, Text: a change of what is held of a server; for traces alone
+	Fetch                        // request the whole list once
+	Tell                         // To, Data: message to a peer; To < 0 for all
+	Log                          // Text: log line for operators
+	Mark                         // Server, Text: a change of a server's health state, for traces only
 )
 
-// Action is something that the caller is to do now, in the order given.
+// Action is an output of the Balancer, to be carried out at once and in the given order.
 type Action struct {
 	Kind    ActionKind
 	On      bool
@@ -258,7 +259,7 @@
 	ID      uint64
 	Token   uint64
 	Timeout time.Duration
-	Before  time.Duration
+	Before  time.Duration // the attempt must not send its first byte from this time on
 	Wait    time.Duration
 	Text    string
 	Data    []byte
--- a/decide/checker_test.go
+++ b/decide/checker_test.go
@@ -29,7 +29,7 @@
 }
 
 // fleet is n ready servers in two zones, cells of three.
-func fleet(n int) []Server {
+func testServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		zone := i % 2
@@ -39,20 +39,20 @@
 }
 
 // The checker below knows the rules from their wording and nothing of the module's state.
-type seenAttempt struct {
-	server Server
-	sent   time.Duration
-	open   bool
-	mayRan bool
-	at     time.Duration // when its outcome is due
-	status Status
+type checkedAttempt struct {
+	server     Server
+	sentAt     time.Duration
+	open       bool
+	mayHaveRun bool
+	endsAt     time.Duration // when its outcome is due
+	status     Status
 }
 
-type seenRequest struct {
+type checkedRequest struct {
 	class    Class
 	deadline time.Duration
-	tries    []*seenAttempt
-	over     bool
+	attempts []*checkedAttempt
+	done     bool
 }
 
 type checker struct {
@@ -61,36 +61,36 @@
 	b        *Balancer
 	rng      *rand.Rand
 	now      time.Duration
-	told     map[ServerID]Server
-	requests map[uint64]*seenRequest
+	listed   map[ServerID]Server
+	requests map[uint64]*checkedRequest
 	timers   []Event // Latency is misused for the due time
 	sends    int
 	answers  int
 	outcome  func(s Server) (time.Duration, Status)
-	mirror   func(e Event, actions []Action) // shown every event and what the module does; nil for none
+	observe  func(e Event, actions []Action) // shown every event and what the module does; nil for none
 }
 
 func newChecker(t *testing.T, c Config, seed uint64) *checker {
 	return &checker{t: t, c: c, b: New(c, seed), rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
-		told: map[ServerID]Server{}, requests: map[uint64]*seenRequest{},
+		listed: map[ServerID]Server{}, requests: map[uint64]*checkedRequest{},
 		outcome: func(Server) (time.Duration, Status) { return 50 * ms, OK }}
 }
 
 func (k *checker) event(e Event) {
 	if e.Kind == Members && e.List != ListFailed {
 		if e.List != ListDelta {
-			k.told = map[ServerID]Server{}
+			k.listed = map[ServerID]Server{}
 		}
 		for _, s := range e.Servers {
-			k.told[s.ID] = s
+			k.listed[s.ID] = s
 			if s.State == Gone {
-				delete(k.told, s.ID)
+				delete(k.listed, s.ID)
 			}
 		}
 	}
 	actions := k.b.Handle(k.now, e)
-	if k.mirror != nil {
-		k.mirror(e, actions)
+	if k.observe != nil {
+		k.observe(e, actions)
 	}
 	for _, a := range actions {
 		k.action(a)
@@ -108,36 +108,36 @@
 	switch a.Kind {
 	case Send:
 		k.sends++
-		s, ok := k.told[a.Server]
+		s, ok := k.listed[a.Server]
 		if !ok || s.State != Ready {
 			t.Errorf("%v: sent to a server told to be %v", k.now, s.State)
 		}
-		if r.over || k.now >= r.deadline {
+		if r.done || k.now >= r.deadline {
 			t.Errorf("%v: sent after the request was over", k.now)
 		}
-		if len(r.tries) >= k.c.Limits.MaxAttempts {
-			t.Errorf("%v: attempt %d", k.now, len(r.tries)+1)
+		if len(r.attempts) >= k.c.Limits.MaxAttempts {
+			t.Errorf("%v: attempt %d", k.now, len(r.attempts)+1)
 		}
 		var before time.Duration // the end of the window, where there is one
 		if r.class.Effect == Keyed && k.c.Limits.SecondCopies {
 			before = k.now + r.class.Window
 		}
-		for _, try := range slices.Backward(r.tries) {
-			if (try.open || try.mayRan) && r.class.Effect == Keyed {
-				before = try.sent + r.class.Window
+		for _, try := range slices.Backward(r.attempts) {
+			if (try.open || try.mayHaveRun) && r.class.Effect == Keyed {
+				before = try.sentAt + r.class.Window
 			}
 		}
 		if a.Before != before {
 			t.Errorf("%v: to go out before %v, want %v", k.now, a.Before, before)
 		}
-		for _, try := range r.tries {
+		for _, try := range r.attempts {
 			if try.open && !k.c.Limits.SecondCopies {
 				t.Errorf("%v: second copy", k.now)
 			}
-			if !try.open && !try.mayRan || r.class.Effect == Safe {
+			if !try.open && !try.mayHaveRun || r.class.Effect == Safe {
 				continue
 			}
-			lawful := r.class.Effect == Keyed && k.now < try.sent+r.class.Window &&
+			lawful := r.class.Effect == Keyed && k.now < try.sentAt+r.class.Window &&
 				(r.class.Group == GroupAll || r.class.Group == GroupZone && s.Zone == try.server.Zone ||
 					r.class.Group == GroupCell && s.Cell == try.server.Cell)
 			if !lawful {
@@ -145,17 +145,17 @@
 			}
 		}
 		after, status := k.outcome(s)
-		try := &seenAttempt{server: s, sent: k.now, open: true, at: k.now + after, status: status}
-		if a.Timeout > 0 && try.at > k.now+a.Timeout {
-			try.at, try.status = k.now+a.Timeout, TimedOut
+		try := &checkedAttempt{server: s, sentAt: k.now, open: true, endsAt: k.now + after, status: status}
+		if a.Timeout > 0 && try.endsAt > k.now+a.Timeout {
+			try.endsAt, try.status = k.now+a.Timeout, TimedOut
 		}
-		if try.at >= r.deadline {
-			try.at, try.status = r.deadline, TimedOut
+		if try.endsAt >= r.deadline {
+			try.endsAt, try.status = r.deadline, TimedOut
 		}
-		r.tries = append(r.tries, try)
+		r.attempts = append(r.attempts, try)
 	case Refuse:
-		for _, try := range r.tries {
-			if (try.open || try.mayRan) && r.class.Effect != Safe &&
+		for _, try := range r.attempts {
+			if (try.open || try.mayHaveRun) && r.class.Effect != Safe &&
 				!(r.class.Effect == Keyed && r.class.Group == GroupAll) {
 				t.Errorf("%v: refused though it may have run", k.now)
 			}
@@ -164,16 +164,16 @@
 	case Fail:
 		k.final(r)
 	case Cancel:
-		if a.Attempt >= len(r.tries) {
+		if a.Attempt >= len(r.attempts) {
 			t.Fatalf("%v: cancelled an attempt never made", k.now)
 		}
-		if try := r.tries[a.Attempt]; try.open && k.c.Limits.Cancel {
-			try.at, try.status = k.now, Cancelled
+		if try := r.attempts[a.Attempt]; try.open && k.c.Limits.Cancel {
+			try.endsAt, try.status = k.now, Cancelled
 		}
 	case Wake:
 		k.timers = append(k.timers, Event{Kind: Timer, Token: a.Token, Latency: k.now + a.Wait})
 	case Probe:
-		if _, ok := k.told[a.Server]; !ok || !k.c.Limits.Probe {
+		if _, ok := k.listed[a.Server]; !ok || !k.c.Limits.Probe {
 			t.Errorf("%v: probe of %d", k.now, a.Server)
 		}
 		k.timers = append(k.timers, Event{Kind: Probed, Server: a.Server, Status: Status(k.rng.IntN(2)),
@@ -181,14 +181,14 @@
 	}
 }
 
-func (k *checker) final(r *seenRequest) {
-	if r.over {
+func (k *checker) final(r *checkedRequest) {
+	if r.done {
 		k.t.Errorf("%v: second final answer", k.now)
 	}
 	if k.now > r.deadline+k.c.Safety.AnswerSlack {
 		k.t.Errorf("%v: answered after the deadline", k.now)
 	}
-	r.over = true
+	r.done = true
 	k.answers++
 }
 
@@ -213,34 +213,34 @@
 	for _, id := range ids {
 		r := k.requests[id]
 		open := 0
-		for i := 0; i < len(r.tries); i++ {
-			try := r.tries[i]
-			if !try.open || try.at > k.now {
+		for i := 0; i < len(r.attempts); i++ {
+			try := r.attempts[i]
+			if !try.open || try.endsAt > k.now {
 				if try.open {
 					open++
 				}
 				continue
 			}
 			try.open = false
-			try.mayRan = try.status != Full && try.status != ConnectFailed && try.status != Moot
-			if try.status == OK && !r.over {
-				r.over = true
+			try.mayHaveRun = try.status != Full && try.status != ConnectFailed && try.status != Moot
+			if try.status == OK && !r.done {
+				r.done = true
 				k.answers++
 			}
 			k.event(Event{Kind: Outcome, ID: id, Attempt: i, Server: try.server.ID, Status: try.status,
-				Latency: k.now - try.sent, Done: r.over})
+				Latency: k.now - try.sentAt, Done: r.done})
 		}
-		if k.now > r.deadline+k.c.Safety.AnswerSlack && !r.over {
+		if k.now > r.deadline+k.c.Safety.AnswerSlack && !r.done {
 			k.t.Errorf("%v: request %d lost", k.now, id)
-			r.over = true
+			r.done = true
 		}
-		if r.over && open == 0 {
+		if r.done && open == 0 {
 			delete(k.requests, id)
 		}
 	}
 }
 
-func (k *checker) ask(id uint64, class int, budget time.Duration) {
-	k.requests[id] = &seenRequest{class: k.c.Classes[class], deadline: k.now + budget}
+func (k *checker) sendRequest(id uint64, class int, budget time.Duration) {
+	k.requests[id] = &checkedRequest{class: k.c.Classes[class], deadline: k.now + budget}
 	k.event(Event{Kind: Request, ID: id, Class: class, Budget: budget})
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -37,7 +37,7 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			bal := New(testConfig(), 1)
-			bal.Handle(0, Event{Kind: Members, Servers: fleet(n)})
+			bal.Handle(0, Event{Kind: Members, Servers: testServers(n)})
 			now := time.Duration(0)
 			for i := range b.N {
 				id := uint64(i + 1)
@@ -57,7 +57,7 @@
 // BenchmarkInstance gives the memory of an instance that knows 400 servers.
 func BenchmarkInstance(b *testing.B) {
 	b.ReportAllocs()
-	list := fleet(400)
+	list := testServers(400)
 	for range b.N {
 		New(testConfig(), 1).Handle(0, Event{Kind: Members, Servers: list})
 	}
--- a/decide/atonce_test.go
+++ b/decide/finalanswer_test.go
@@ -6,7 +6,7 @@
 )
 
 // A request that no server may run again gets its final answer with the outcome that forbids it, not near its client's end.
-func TestAnswersAtOnce(t *testing.T) {
+func TestFinalAnswerIsImmediateWhenNoRetryIsAllowed(t *testing.T) {
 	for name, test := range map[string]struct {
 		class  Class
 		after  time.Duration // from the attempt to its outcome
@@ -24,7 +24,7 @@
 		test.class.Aim, test.class.Deadline, test.class.Worth, test.class.LateWorth = 30*time.Second, 30*time.Second, 1, 0.5
 		c.Classes = []Class{test.class}
 		b, now := New(c, 1), time.Hour
-		b.Handle(now, Event{Kind: Members, Servers: fleet(4)})
+		b.Handle(now, Event{Kind: Members, Servers: testServers(4)})
 		sent := 0
 		for _, a := range b.Handle(now, Event{Kind: Request, ID: 1, Budget: 30 * time.Second}) {
 			if a.Kind == Send {
--- a/decide/health.go
+++ b/decide/health.go
@@ -5,179 +5,188 @@
 	"time"
 )
 
-// judge draws the conclusions of an outcome.
-func (b *Balancer) judge(r *request, t *attempt, e *Event) {
-	k, s := r.class, t.s
+// recordResult updates latency, load and health state from the result of an attempt.
+func (b *Balancer) recordResult(r *request, a *attempt, e *Event) {
+	k, s := r.class, a.target
 	lat := e.Latency.Seconds()
 	slack := b.slack(r)
 	switch e.Status {
 	case OK:
-		b.learnLatency(k, lat)
-		b.sample(s, (lat-k.base)/slack)
-		b.learnSpeed(s, k, lat)
-		s.strikes, s.spoilt, s.okAt = 0, 0, b.now
-		s.tier.heard(b.now)
-		if s.in == &s.tier.half && !t.overdue {
-			if s.wins++; s.wins >= trialWins {
-				s.level, s.wins = max(s.level-1, 0), 0
-				b.move(s, &s.tier.live)
+		b.updateClassLatency(k, lat)
+		b.sampleLoad(s, (lat-k.baseLatency)/slack)
+		b.updateServerLatency(s, k, lat)
+		s.failures, s.unreadable, s.lastSuccess = 0, 0, b.now
+		s.tier.recordAnswer(b.now)
+		if s.pool == &s.tier.halfOpen && !a.overdue {
+			if s.trialSuccesses++; s.trialSuccesses >= requiredTrialSuccesses {
+				s.ejections, s.trialSuccesses = max(s.ejections-1, 0), 0
+				b.move(s, &s.tier.active)
 			}
 		}
 	case Full:
-		s.tier.heard(b.now) // turning away is an answer
-		b.sample(s, 1.5)
+		s.tier.recordAnswer(b.now) // a rejection is an answer too
+		b.sampleLoad(s, 1.5)
 	case TimedOut:
-		b.sample(s, max((lat-k.base)/slack, 1))
-		b.strike(s, b.weigh(s))
-		if !t.overdue {
-			b.miss(s)
+		b.sampleLoad(s, max((lat-k.baseLatency)/slack, 1))
+		b.recordFailure(s, b.timeoutWeight(s))
+		if !a.overdue {
+			b.recordMiss(s)
 		}
 	case Cancelled:
-		if t.overdue && !r.over {
-			b.sample(s, (lat-k.base)/slack)
+		if a.overdue && !r.done {
+			b.sampleLoad(s, (lat-k.baseLatency)/slack)
 		}
-		if t.overdue {
-			b.strike(s, 1)
+		if a.overdue {
+			b.recordFailure(s, 1)
 		}
 	case ConnectFailed, Reset:
-		b.miss(s)
-		late := e.Status == ConnectFailed && b.c.ConnectTime > 0 && e.Latency >= b.c.ConnectTime
-		if late && s.tier.misses < deadMisses { // that proves less than a refusal, where others answer
-			b.strike(s, 1)
+		b.recordMiss(s)
+		late := e.Status == ConnectFailed && b.config.ConnectTime > 0 && e.Latency >= b.config.ConnectTime
+		if late && s.tier.misses < outageMisses { // weaker than a refusal while others answer
+			b.recordFailure(s, 1)
 		} else {
-			b.broke(s)
+			b.recordConnectionFailure(s)
 		}
 	case Errored:
-		b.strike(s, 1)
-	case Spoilt: // the server works; only one that spoils answer after answer is no use
-		s.tier.heard(b.now)
-		if s.spoilt++; s.spoilt >= badRun {
-			b.strike(s, hardStrike)
+		b.recordFailure(s, 1)
+	case Spoilt: // the server runs; only repeated unreadable answers make it useless
+		s.tier.recordAnswer(b.now)
+		if s.unreadable++; s.unreadable >= badResultLimit {
+			b.recordFailure(s, hardFailureWeight)
 		}
 	}
 }
 
-// slack is the time a request can wait and still meet its aim, in seconds.
+// slack is the time in seconds that a request can wait and still meet its aim.
 func (b *Balancer) slack(r *request) float64 {
-	return max((r.aim-r.start).Seconds()-r.class.base, 0.25*r.class.Aim.Seconds())
+	return max((r.aim-r.arrivedAt).Seconds()-r.class.baseLatency, 0.25*r.class.Aim.Seconds())
 }
 
-func (b *Balancer) learnLatency(k *class, lat float64) {
-	k.n++
-	a := max(1/(k.n+priorSamples), 1.0/32)
-	k.dev += a * (math.Abs(lat-k.mean) - k.dev)
-	k.mean += a * (lat - k.mean)
-	if k.mean < k.base {
-		k.base = k.mean
+// updateClassLatency updates the mean, the deviation and the base latency of a class.
+func (b *Balancer) updateClassLatency(k *class, latency float64) {
+	k.samples++
+	rate := max(1/(k.samples+priorSamples), 1.0/32)
+	k.latencyDeviation += rate * (math.Abs(latency-k.meanLatency) - k.latencyDeviation)
+	k.meanLatency += rate * (latency - k.meanLatency)
+	if k.meanLatency < k.baseLatency {
+		k.baseLatency = k.meanLatency
 	} else {
-		k.base += 0.002 * (min(k.mean, 0.4*k.Aim.Seconds()) - k.base)
+		k.baseLatency += 0.002 * (min(k.meanLatency, 0.4*k.Aim.Seconds()) - k.baseLatency)
 	}
 }
 
-// learnSpeed compares a server with the others on the same class.
-func (b *Balancer) learnSpeed(s *server, k *class, lat float64) {
-	x := min(lat/max(k.mean, 1e-3), 10)
-	s.stretch += 0.5 * (x - s.stretch)
-	s.seen = b.now
-	kind := b.kind(s)
-	kind.n++
-	kind.mean += max(1/(kind.n+priorSamples), 1.0/64) * (x - kind.mean)
+// updateServerLatency compares a server's latency with the mean of the class.
+func (b *Balancer) updateServerLatency(s *server, k *class, latency float64) {
+	ratio := min(latency/max(k.meanLatency, 1e-3), 10)
+	s.latencyRatio += 0.5 * (ratio - s.latencyRatio)
+	s.latencyRatioAt = b.now
+	kind := b.statsFor(s)
+	kind.samples++
+	kind.meanLatency += max(1/(kind.samples+priorSamples), 1.0/64) * (ratio - kind.meanLatency)
 }
 
-// doubtful tells that a tier may be lost (a zone gone or cut): several attempts in a row got no answer, and
-// none came for long. Overload can look the same.
-func (b *Balancer) doubtful(t *tier) bool {
-	return t.misses >= deadMisses && b.now-t.since >= deadSilence
+// suspectsOutage reports whether a tier may be down (a zone that failed or is unreachable): several
+// attempts in a row got no answer, and there has been none for a while. Overload can look the same.
+func (b *Balancer) suspectsOutage(t *tier) bool {
+	return t.misses >= outageMisses && b.now-t.silentSince >= outageSilence
 }
 
-// miss counts an attempt that got no answer in time. A doubtful tier is ejected whole only once another
-// has answered since: without that proof it is overload, and moving all of it would spread the jam.
-func (b *Balancer) miss(s *server) {
+// recordMiss counts an attempt that got no answer in time. A tier that may be down is ejected as a whole
+// only if another one has answered since. Otherwise the cause may be overload, which moving all requests
+// would spread.
+func (b *Balancer) recordMiss(s *server) {
 	t, other := s.tier, &b.tiers[0]
 	if t == other {
 		other = &b.tiers[1]
 	}
 	t.misses++
-	if !b.doubtful(t) || s.in != &t.live || other.lastOK <= t.lastOK || len(other.live.list) == 0 {
+	if !b.suspectsOutage(t) || s.pool != &t.active || other.lastAnswer <= t.lastAnswer ||
+		len(other.active.members) == 0 {
 		return
 	}
-	b.log("tier of rank %d: no answer while another answers, all %d ejected", b.rank(t), len(t.live.list))
-	for len(t.live.list) > 0 {
-		b.eject(t.live.list[len(t.live.list)-1], baseEject)
+	b.log("tier of rank %d does not answer while another tier does: ejecting all %d servers",
+		b.rank(t), len(t.active.members))
+	for len(t.active.members) > 0 {
+		b.eject(t.active.members[len(t.active.members)-1], baseEjection)
 	}
 }
 
-// broke counts a connection that failed, or broke under an attempt. Single breaks happen to every server:
-// between answers, or a few, prove nothing. A dead process breaks all its connections, and soon that many.
-func (b *Balancer) broke(s *server) {
-	if s.in == &s.tier.live && s.strikes < badRun-1 && s.okAt > 0 && b.now-s.okAt < answerFresh {
-		s.strikes++
+// recordConnectionFailure counts a connection that failed or broke during an attempt. Isolated breaks
+// happen at every server, so a few of them soon after an answer are tolerated. A dead process breaks all
+// its connections and reaches the limit quickly.
+func (b *Balancer) recordConnectionFailure(s *server) {
+	if s.pool == &s.tier.active && s.failures < badResultLimit-1 && s.lastSuccess > 0 &&
+		b.now-s.lastSuccess < recentAnswer {
+		s.failures++
 		return
 	}
-	b.strike(s, hardStrike)
+	b.recordFailure(s, hardFailureWeight)
 }
 
-// strike counts evidence against a server and ejects it. Evidence that overload gives as well (no answer
-// in time) never ejects past the panic threshold.
-func (b *Balancer) strike(s *server, n int) {
+// recordFailure counts weighted evidence of failure and ejects the server. Evidence that overload causes as
+// well (no answer in time) never ejects servers beyond the panic threshold.
+func (b *Balancer) recordFailure(s *server, weight int) {
 	t := s.tier
-	s.strikes += n
-	switch s.in {
-	case &t.half:
-		s.wins = 0
-		s.level++
-		b.eject(s, baseEject)
-	case &t.live:
-		if n < hardStrike && t.live.w-s.weight < panicShare*(t.live.w+t.bad.w+t.half.w) {
+	s.failures += weight
+	switch s.pool {
+	case &t.halfOpen:
+		s.trialSuccesses = 0
+		s.ejections++
+		b.eject(s, baseEjection)
+	case &t.active:
+		if weight < hardFailureWeight && t.active.totalWeight-s.weight <
+			panicThreshold*(t.active.totalWeight+t.ejected.totalWeight+t.halfOpen.totalWeight) {
 			return
 		}
-		if s.strikes < 2 {
-			b.eject(s, softEject)
+		if s.failures < 2 {
+			b.eject(s, softEjection)
 		} else {
-			b.eject(s, baseEject)
-			s.level++
+			b.eject(s, baseEjection)
+			s.ejections++
 		}
 	}
 }
 
-// weigh tells what a time-out proves: much where the tier is otherwise at ease, little under load.
-func (b *Balancer) weigh(s *server) int {
+// timeoutWeight is the weight of a timeout as evidence of failure: lower while the tier is under load.
+func (b *Balancer) timeoutWeight(s *server) int {
 	if b.pressure(s.tier) > 0 {
 		return 1
 	}
 	return 2
 }
 
+// eject takes a server out of use for d, doubled for each ejection in a row, with jitter.
 func (b *Balancer) eject(s *server, d time.Duration) {
-	b.move(s, &s.tier.bad)
-	d = b.jitter(min(d<<min(s.level, 8), maxEject))
-	s.until = b.now + d
-	b.wake(d, tokServer, 0, uint64(s.ID))
+	b.move(s, &s.tier.ejected)
+	d = b.jitter(min(d<<min(s.ejections, 8), maxEjection))
+	s.ejectedUntil = b.now + d
+	b.setTimer(d, timerServer, 0, uint64(s.ID))
 }
 
-// readmit ends an ejection: a probe first where allowed, so that no request is risked on a dead server.
+// readmit ends an ejection. Where probes are allowed one is sent first, so that no request is risked on a
+// dead server.
 func (b *Balancer) readmit(s *server) {
-	if s.strikes < 2 && s.level == 0 {
-		b.move(s, &s.tier.live)
+	if s.failures < 2 && s.ejections == 0 {
+		b.move(s, &s.tier.active)
 		return
 	}
-	if b.c.Limits.Probe {
-		s.until = math.MaxInt64
-		b.act(Action{Kind: Probe, Server: s.ID})
+	if b.config.Limits.Probe {
+		s.ejectedUntil = math.MaxInt64
+		b.addAction(Action{Kind: Probe, Server: s.ID})
 		return
 	}
-	b.move(s, &s.tier.half)
+	b.move(s, &s.tier.halfOpen)
 }
 
-func (b *Balancer) probed(e *Event) {
+func (b *Balancer) handleProbeResult(e *Event) {
 	s := b.servers[e.Server]
-	if s == nil || s.in != &s.tier.bad {
+	if s == nil || s.pool != &s.tier.ejected {
 		return
 	}
 	if e.Status != OK {
-		s.level++
-		b.eject(s, baseEject)
+		s.ejections++
+		b.eject(s, baseEjection)
 		return
 	}
-	b.move(s, &s.tier.half)
+	b.move(s, &s.tier.halfOpen)
 }
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -11,23 +11,23 @@
 	c.Zone = 7
 	k := newChecker(t, c, 6)
 	k.outcome = func(Server) (time.Duration, Status) { return 700 * ms, OK }
-	k.event(Event{Kind: Members, Servers: fleet(12)})
-	drive(k, 300, 0, 50*ms)
+	k.event(Event{Kind: Members, Servers: testServers(12)})
+	sendRequests(k, 300, 0, 50*ms)
 	if k.sends > 250 {
 		t.Errorf("%d of 300 requests sent though all come late", k.sends)
 	}
 }
 
 // Sidecars went on refusing nearly all long after a jam was over, as few attempts were left to feel it.
-func TestSheddingEnds(t *testing.T) {
+func TestSheddingEndsAfterOverload(t *testing.T) {
 	k := newChecker(t, testConfig(), 7)
-	k.event(Event{Kind: Members, Servers: fleet(12)})
+	k.event(Event{Kind: Members, Servers: testServers(12)})
 	k.outcome = func(Server) (time.Duration, Status) { return 900 * ms, OK }
-	drive(k, 400, 0, 50*ms)
+	sendRequests(k, 400, 0, 50*ms)
 	k.outcome = func(Server) (time.Duration, Status) { return 50 * ms, OK }
-	drive(k, 150, 0, 50*ms)
+	sendRequests(k, 150, 0, 50*ms)
 	before := k.sends
-	drive(k, 100, 0, 50*ms)
+	sendRequests(k, 100, 0, 50*ms)
 	if n := k.sends - before; n < 80 {
 		t.Errorf("8 s after the jam only %d of 100 requests are sent", n)
 	}
@@ -36,13 +36,13 @@
 // In overload the work of least worth goes first.
 func TestShedsLeastWorthFirst(t *testing.T) {
 	k := newChecker(t, testConfig(), 8)
-	k.event(Event{Kind: Members, Servers: fleet(12)})
+	k.event(Event{Kind: Members, Servers: testServers(12)})
 	k.outcome = func(Server) (time.Duration, Status) { return 250 * ms, OK }
 	sent := [2]int{}
 	for i := range 1000 {
 		for n, class := range []int{0, 3} {
 			got := 0
-			for _, m := range drive(k, 1, class, 25*ms) {
+			for _, m := range sendRequests(k, 1, class, 25*ms) {
 				got += m
 			}
 			if i > 200 && got > 0 {
@@ -67,8 +67,8 @@
 		return refusals
 	}
 	b.Handle(time.Hour, Event{Kind: Members, Servers: []Server{{ID: 1, State: Ready}}})
-	b.tiers[1].load, b.tiers[1].loadAt = 1, time.Hour
-	b.tiers[0].load, b.tiers[0].loadAt = 1, time.Hour
+	b.tiers[1].load, b.tiers[1].loadUpdatedAt = 1, time.Hour
+	b.tiers[0].load, b.tiers[0].loadUpdatedAt = 1, time.Hour
 	if got := waits(b.Handle(time.Hour, Event{Kind: Request, ID: 1, Budget: time.Second})); len(got) != 1 || got[0] != 0 {
 		t.Errorf("refused at once with the waits %v, want one of 0", got)
 	}
@@ -88,7 +88,7 @@
 	c.Tenants = []Tenant{{Share: 0.5, Quota: 100}, {Share: 0.5, Quota: 100}}
 	k := newChecker(t, c, 13)
 	k.outcome = func(Server) (time.Duration, Status) { return 270 * ms, OK }
-	k.event(Event{Kind: Members, Servers: fleet(12)})
+	k.event(Event{Kind: Members, Servers: testServers(12)})
 	var asked, sent [2]int
 	for i := range 4000 {
 		for end := k.now + 20*ms; k.now < end; {
@@ -99,7 +99,7 @@
 			tenant = 1
 		}
 		before, id := k.sends, uint64(i+1)
-		k.requests[id] = &seenRequest{class: c.Classes[0], deadline: k.now + time.Second}
+		k.requests[id] = &checkedRequest{class: c.Classes[0], deadline: k.now + time.Second}
 		k.event(Event{Kind: Request, ID: id, Tenant: tenant, Budget: time.Second})
 		asked[tenant]++
 		sent[tenant] += k.sends - before
@@ -115,7 +115,7 @@
 func TestCreditWhileShedding(t *testing.T) {
 	c := testConfig()
 	b := New(c, 1)
-	list := fleet(8)
+	list := testServers(8)
 	now := time.Hour
 	for i := 2; i < len(list); i += 2 { // most of the own zone is cold
 		list[i].Started = now - 2*time.Second
@@ -126,7 +126,7 @@
 	refused := 0
 	for id := range uint64(20) {
 		for i := range b.tiers {
-			b.tiers[i].load, b.tiers[i].debt, b.tiers[i].loadAt = 1, 0.95, now
+			b.tiers[i].load, b.tiers[i].sustainedPressure, b.tiers[i].loadUpdatedAt = 1, 0.95, now
 		}
 		for _, a := range b.Handle(now, Event{Kind: Request, ID: id + 1, Budget: time.Second}) {
 			if a.Kind == Refuse {
@@ -143,7 +143,7 @@
 // that alone, or every call of the zone may go to a worker that has just come back.
 func TestCreditInASmallZone(t *testing.T) {
 	for n, most := range map[int]float64{1: 0.5, 4: 1} { // own servers among eight in two zones; credit of one call, shares
-		list := fleet(8)
+		list := testServers(8)
 		for i := range list {
 			if list[i].Zone = 1; i < n {
 				list[i].Zone = 0
@@ -155,8 +155,8 @@
 		b.Handle(now, Event{Kind: Members, List: ListCached, Servers: list})
 		s := b.servers[list[0].ID]
 		s.credit = 0
-		b.earn()
-		if got, limit := s.credit, most*coldMost*b.share(s)/float64(max(n, 1)); got <= 0 || got > limit*1.01 {
+		b.earnCredit()
+		if got, limit := s.credit, most*maxSlowStartShare*b.minCapacityShare(s)/float64(max(n, 1)); got <= 0 || got > limit*1.01 {
 			t.Errorf("zone of %d: a call earns %.3f, up to %.3f is expected", n, got, limit)
 		}
 	}
@@ -164,22 +164,22 @@
 
 // A whole credit that is not spent within a part of the span in which a server falls is lost where there are many sidecars, or
 // nobody knows how many; one that is whole for less is not, nor any of a few sidecars.
-func TestCreditIsForfeited(t *testing.T) {
+func TestUnusedCreditExpires(t *testing.T) {
 	for sidecars, lost := range map[int]bool{0: true, 3: false, 300: true} {
 		c := testConfig()
 		c.Balancers = sidecars
-		list := fleet(8)
+		list := testServers(8)
 		now := time.Hour
 		list[0].Started = now
 		b := New(c, 1)
 		b.Handle(now, Event{Kind: Members, List: ListCached, Servers: list})
-		b.usage[0], b.classes[0].flow[0] = 10, 10*0.05 // requests of 50 ms
+		b.tenantRequests[0], b.classes[0].workByTenant[0] = 10, 10*0.05 // requests of 50 ms
 		s := b.servers[list[0].ID]
-		kept := time.Duration(creditKept * float64(b.c.Safety.TipAfter))
+		kept := time.Duration(creditRetention * float64(b.config.Safety.TipAfter))
 		s.credit = 0.999
 		earnAt := func(at time.Duration) float64 {
 			b.now = now + at
-			b.earn()
+			b.earnCredit()
 			return s.credit
 		}
 		if got := earnAt(0); got != 1 {
--- a/decide/members.go
+++ b/decide/members.go
@@ -6,131 +6,136 @@
 	"time"
 )
 
-func (b *Balancer) members(e *Event) {
+// handleMembers applies an update of the server list, or schedules the next call to discovery.
+func (b *Balancer) handleMembers(e *Event) {
 	silent := e.List == ListFailed && e.Status == TimedOut
 	switch {
-	case e.List == ListMoved, silent: // another discovery, or a call that fell silent, which took its time
-		b.failures = 0
-		b.act(Action{Kind: Watch, On: true})
+	case e.List == ListMoved, silent: // a silent call has waited long enough already
+		b.discoveryFailures = 0
+		b.addAction(Action{Kind: Watch, On: true})
 		return
-	case e.List == ListFailed: // two waits and two calls fit in the time after which a change is told
-		most := watchFirst
-		if b.failures++; b.failures > 1 {
-			most = watchRetry
+	case e.List == ListFailed: // two waits and two calls have to fit into Safety.ToldWithin
+		maxWait := firstWatchBackoff
+		if b.discoveryFailures++; b.discoveryFailures > 1 {
+			maxWait = nextWatchBackoff
 		}
-		most *= (0.1 + 0.9*b.rng.Float64()) * float64(b.c.Safety.ToldWithin())
-		b.wake(time.Duration(most), tokWatch, 0, 0)
+		maxWait *= (0.1 + 0.9*b.rng.Float64()) * float64(b.config.Safety.ToldWithin())
+		b.setTimer(time.Duration(maxWait), timerWatch, 0, 0)
 		return
-	case e.List == ListCached && b.c.Subscribe: // what an old list lacks may count as told already
-		most := min(time.Duration(b.c.Balancers)*watchSlot, b.c.Safety.DrainGrace*4/5)
-		b.wake(time.Duration(b.rng.Float64()*float64(most)), tokWatch, 0, 0)
+	case e.List == ListCached && b.config.Subscribe: // changes since the cached list may be due already
+		maxWait := min(time.Duration(b.config.Balancers)*initialWatchSpread, b.config.Safety.DrainGrace*4/5)
+		b.setTimer(time.Duration(b.rng.Float64()*float64(maxWait)), timerWatch, 0, 0)
 	case e.List != ListCached:
-		b.failures = 0
+		b.discoveryFailures = 0
 	}
 	if e.List != ListDelta {
-		keep := make(map[ServerID]bool, len(e.Servers))
+		listed := make(map[ServerID]bool, len(e.Servers))
 		for i := range e.Servers {
-			keep[e.Servers[i].ID] = true
+			listed[e.Servers[i].ID] = true
 		}
-		var lost []ServerID
+		var removed []ServerID
 		for id := range b.servers {
-			if !keep[id] {
-				lost = append(lost, id)
+			if !listed[id] {
+				removed = append(removed, id)
 			}
 		}
-		slices.Sort(lost) // the order of a pool must not hang on that of a map
-		for _, id := range lost {
-			b.drop(b.servers[id])
+		slices.Sort(removed) // map iteration must not determine the order of the pools
+		for _, id := range removed {
+			b.removeServer(b.servers[id])
 		}
 	}
 	for i := range e.Servers {
-		b.learn(&e.Servers[i])
+		b.updateServer(&e.Servers[i])
 	}
 	b.reindex()
-	for i := range b.tiers { // credit is measured by the tiers' weights from the first request on
-		b.able(&b.tiers[i])
+	for i := range b.tiers { // updates the reference weights, which the credit of the next request depends on
+		b.availableShare(&b.tiers[i])
 	}
 	if e.List == ListCached {
-		b.away = b.firstLean()
+		b.crossZoneShare = b.initialCrossZoneShare()
 	}
 }
 
-// firstLean is the share of calls that would leave the own zone if every zone had as many calls: all that a
-// sidecar can go by before it has felt anything. Where a whole fleet starts at once, jams would teach it.
-func (b *Balancer) firstLean() float64 {
-	own, all := float64(len(b.tiers[0].order)), float64(len(b.tiers[0].order)+len(b.tiers[1].order))
-	if own == 0 {
+// initialCrossZoneShare is the share of requests that would leave the own zone if every zone received the
+// same number of requests. It is the only estimate before the first load samples: if all balancers start
+// together, a small zone would otherwise be overloaded until they learn.
+func (b *Balancer) initialCrossZoneShare() float64 {
+	ownServers, allServers := float64(len(b.tiers[0].order)),
+		float64(len(b.tiers[0].order)+len(b.tiers[1].order))
+	if ownServers == 0 {
 		return 0
 	}
-	return min(max(1-own/all*float64(len(b.zones)), 0), leanMost)
+	return min(max(1-ownServers/allServers*float64(len(b.zones)), 0), crossZoneMaxShare)
 }
 
-func (b *Balancer) drop(s *server) {
+func (b *Balancer) removeServer(s *server) {
 	b.move(s, nil)
 	s.State = Gone
 	delete(b.servers, s.ID)
 }
 
-func (b *Balancer) learn(n *Server) {
-	s := b.servers[n.ID]
-	if n.State == Gone {
+// updateServer applies one entry of the server list.
+func (b *Balancer) updateServer(listed *Server) {
+	s := b.servers[listed.ID]
+	if listed.State == Gone {
 		if s != nil {
-			b.drop(s)
+			b.removeServer(s)
 		}
 		return
 	}
 	if s == nil {
-		s = &server{Server: *n, stretch: 1, credit: b.rng.Float64(), lot: b.rng.Uint64()}
-		b.servers[n.ID] = s
+		s = &server{Server: *listed, latencyRatio: 1, credit: b.rng.Float64(), orderKey: b.rng.Uint64()}
+		b.servers[listed.ID] = s
 	}
-	restarted, half := n.Started != s.Started, s.tier != nil && s.in == &s.tier.half
+	restarted, wasHalfOpen := listed.Started != s.Started, s.tier != nil && s.pool == &s.tier.halfOpen
 	b.move(s, nil)
-	s.Server = *n
+	s.Server = *listed
 	s.weight = 1
-	if b.c.Weights != WeightsNone && n.Nominal > 0 && !math.IsInf(n.Nominal, 0) {
-		s.weight = n.Nominal
+	if b.config.Weights != WeightsNone && listed.Nominal > 0 && !math.IsInf(listed.Nominal, 0) {
+		s.weight = listed.Nominal
 	}
 	s.tier = &b.tiers[1]
-	if n.Zone == b.c.Zone {
+	if listed.Zone == b.config.Zone {
 		s.tier = &b.tiers[0]
 	}
-	if n.State != Ready {
+	if listed.State != Ready {
 		return
 	}
-	if restarted { // a new process owes nothing for the failures of the old one
-		s.strikes, s.level, s.wins, s.until, s.stretch = 0, 0, 0, 0, 1
+	if restarted { // failures of the previous process do not count for the new one
+		s.failures, s.ejections, s.trialSuccesses, s.ejectedUntil, s.latencyRatio = 0, 0, 0, 0, 1
 		s.credit = b.rng.Float64()
 	}
 	switch {
-	case half && !restarted: // a list is no proof of health, the trials go on
-		b.move(s, &s.tier.half)
-	case s.until > b.now:
-		b.move(s, &s.tier.bad)
+	case wasHalfOpen && !restarted: // being listed is no evidence of health, so the trials go on
+		b.move(s, &s.tier.halfOpen)
+	case s.ejectedUntil > b.now:
+		b.move(s, &s.tier.ejected)
 	default:
-		b.move(s, &s.tier.live)
+		b.move(s, &s.tier.active)
 	}
 }
 
-// able is the part of the weight this tier's clients are used to that can take work now: healthy, and a
-// warming server only as far as it is sure to be warm.
-func (b *Balancer) able(t *tier) float64 {
-	listed := t.live.w + t.bad.w + t.half.w
-	t.ref = max(listed, t.ref*math.Exp(-float64(b.now-t.refAt)/float64(refDecay)))
-	t.refAt = b.now
-	if t.ref <= 0 {
+// availableShare is the part of the tier's reference weight that can take work now. Only healthy servers
+// count, and warming ones only with the capacity that they are guaranteed to have.
+func (b *Balancer) availableShare(t *tier) float64 {
+	listed := t.active.totalWeight + t.ejected.totalWeight + t.halfOpen.totalWeight
+	t.referenceWeight = max(listed,
+		t.referenceWeight*math.Exp(-float64(b.now-t.referenceWeightAt)/float64(referenceWeightDecay)))
+	t.referenceWeightAt = b.now
+	if t.referenceWeight <= 0 {
 		return 0
 	}
-	w := t.live.w
+	available := t.active.totalWeight
 	for i := 0; i < len(t.warming); i++ {
 		s := t.warming[i]
-		share := b.share(s)
-		if share >= 1 || s.in == nil {
+		share := b.minCapacityShare(s)
+		if share >= 1 || s.pool == nil {
 			t.warming[i] = t.warming[len(t.warming)-1]
 			t.warming = t.warming[:len(t.warming)-1]
 			i--
-		} else if s.in == &t.live {
-			w -= s.weight * (1 - share)
+		} else if s.pool == &t.active {
+			available -= s.weight * (1 - share)
 		}
 	}
-	return w / t.ref
+	return available / t.referenceWeight
 }
--- a/decide/members_test.go
+++ b/decide/members_test.go
@@ -25,21 +25,21 @@
 		t.Fatalf("no timer in %+v", acts)
 		return 0
 	}
-	if d := wait(b.Handle(now, Event{Kind: Members, List: ListCached, Servers: fleet(4)})); d > c.Safety.DrainGrace {
+	if d := wait(b.Handle(now, Event{Kind: Members, List: ListCached, Servers: testServers(4)})); d > c.Safety.DrainGrace {
 		t.Errorf("first call after %v", d)
 	}
 	told := float64(c.Safety.ToldWithin())
 	for i := range 6 {
-		share := watchRetry
+		share := nextWatchBackoff
 		if i == 0 {
-			share = watchFirst
+			share = firstWatchBackoff
 		}
 		if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > share*told || float64(d) < 0.1*share*told {
 			t.Errorf("call %d after %v", i, d)
 		}
 	}
 	b.Handle(now, Event{Kind: Members, List: ListDelta})
-	if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > watchFirst*told {
+	if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > firstWatchBackoff*told {
 		t.Errorf("no new start of the waits: %v", d)
 	}
 }
@@ -63,14 +63,14 @@
 	if w := wait(Event{Kind: Members, List: ListMoved}); w != 0 {
 		t.Errorf("asked after %v, not at once", w)
 	}
-	if w := wait(failed); w <= 0 || float64(w) > watchFirst*float64(testConfig().Safety.ToldWithin()) {
+	if w := wait(failed); w <= 0 || float64(w) > firstWatchBackoff*float64(testConfig().Safety.ToldWithin()) {
 		t.Errorf("waits %v after the first failure", w)
 	}
 }
 
 // A watch that fell silent says nothing of the registry: it is opened anew at once, also where calls before it were refused.
 // What fails after that is answered with a wait.
-func TestSilentWatch(t *testing.T) {
+func TestSilentWatchIsReopenedAtOnce(t *testing.T) {
 	for name, before := range map[string]int{"after an answer": 0, "after a refusal": 1, "after an outage": 7} {
 		c := testConfig()
 		c.Balancers, c.Subscribe = 300, true
@@ -84,7 +84,7 @@
 		if a := fail(TimedOut); a.Kind != Watch || !a.On {
 			t.Errorf("%s: a silent watch is answered with %+v", name, a)
 		}
-		if a := fail(ConnectFailed); a.Kind != Wake || float64(a.Wait) < 0.1*watchFirst*float64(c.Safety.ToldWithin()) {
+		if a := fail(ConnectFailed); a.Kind != Wake || float64(a.Wait) < 0.1*firstWatchBackoff*float64(c.Safety.ToldWithin()) {
 			t.Errorf("%s: a failure after that is answered with %+v", name, a)
 		}
 	}
@@ -105,12 +105,12 @@
 	}{
 		{"start", ListCached, 80, c.Safety.DrainGrace, false},
 		{"start of a large fleet", ListCached, 300, c.Safety.DrainGrace, false},
-		{"after a failure", ListFailed, 80, time.Duration(watchFirst * float64(c.Safety.ToldWithin())), true},
+		{"after a failure", ListFailed, 80, time.Duration(firstWatchBackoff * float64(c.Safety.ToldWithin())), true},
 	} {
 		c.Balancers = x.balancers
 		var at []time.Duration
 		for seed := range uint64(c.Balancers) {
-			for _, a := range New(c, seed+1).Handle(time.Hour, Event{Kind: Members, List: x.first, Servers: fleet(4)}) {
+			for _, a := range New(c, seed+1).Handle(time.Hour, Event{Kind: Members, List: x.first, Servers: testServers(4)}) {
 				if a.Kind == Wake {
 					at = append(at, a.Wait)
 				}
--- a/decide/size_test.go
+++ b/decide/policyfiles_test.go
@@ -12,7 +12,7 @@
 
 // The files that hold decisions, all but the types in api.go and state.go, are those that the deploy file names, and a line
 // fits a page.
-func TestPolicyFiles(t *testing.T) {
+func TestPolicyFilesMatchDeployment(t *testing.T) {
 	var deploy struct{ Policy []string }
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err == nil {
--- a/decide/drawn_test.go
+++ b/decide/random_test.go
@@ -10,7 +10,7 @@
 
 // troubles plays random legal events for a while, and then what is still to come of them: requests of all classes, backends
 // that fail, lists that change, clients that leave.
-func (k *checker) troubles(list []Server, length time.Duration) {
+func (k *checker) playRandomEvents(list []Server, length time.Duration) {
 	bad := map[ServerID]int{}
 	k.outcome = func(s Server) (time.Duration, Status) {
 		switch x := k.rng.Float64(); {
@@ -34,12 +34,12 @@
 		for k.rng.Float64() < 0.15 {
 			id++
 			class := k.rng.IntN(len(k.c.Classes))
-			k.ask(id, class, time.Duration(1+k.rng.IntN(int(k.c.Classes[class].Deadline/ms)))*ms)
+			k.sendRequest(id, class, time.Duration(1+k.rng.IntN(int(k.c.Classes[class].Deadline/ms)))*ms)
 		}
 		if k.rng.Float64() < 0.01 {
 			bad[list[k.rng.IntN(len(list))].ID] = k.rng.IntN(3)
 		}
-		k.change(list, id)
+		k.playRandomChange(list, id)
 	}
 	for range 400 + int(4*time.Second/k.c.Tick) { // longer than any drawn deadline
 		k.step()
@@ -47,7 +47,7 @@
 }
 
 // change plays one event that is no request's, or none; id is the last request's.
-func (k *checker) change(list []Server, id uint64) {
+func (k *checker) playRandomChange(list []Server, id uint64) {
 	switch x := k.rng.Float64(); {
 	case x < 0.01: // a change: drain, go, restart
 		s := &list[k.rng.IntN(len(list))]
@@ -70,26 +70,26 @@
 	case x < 0.013:
 		k.event(Event{Kind: Members, List: ListFailed})
 	case x < 0.014 && id > 0: // a client leaves
-		if r := k.requests[id]; r != nil && !r.over {
-			r.over = true
+		if r := k.requests[id]; r != nil && !r.done {
+			r.done = true
 			k.event(Event{Kind: Left, ID: id})
 		}
 	}
 }
 
 // between draws a time from a range.
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
+func randomDuration(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Int64N(int64(most-least)+1))
 }
 
 // drawConfig draws a deployment. Every effect and every group comes, on classes in any order.
-func drawConfig(rng *rand.Rand) Config {
+func randomConfig(rng *rand.Rand) Config {
 	c := testConfig()
 	for i := range c.Classes {
 		k := &c.Classes[i]
-		k.Deadline = between(rng, 300*ms, 4*time.Second)
-		k.Aim = between(rng, k.Deadline/8, k.Deadline)
-		k.Window = between(rng, 50*ms, 5*time.Second)
+		k.Deadline = randomDuration(rng, 300*ms, 4*time.Second)
+		k.Aim = randomDuration(rng, k.Deadline/8, k.Deadline)
+		k.Window = randomDuration(rng, 50*ms, 5*time.Second)
 		k.Worth = float64(1+rng.IntN(40)) / 4
 		k.LateWorth = float64(rng.IntN(3)) / 4
 	}
@@ -97,22 +97,22 @@
 	c.Classes = append(c.Classes, c.Classes[rng.IntN(len(c.Classes))])
 	c.Limits.MaxAttempts = 1 + rng.IntN(5)
 	c.Limits.SecondCopies, c.Limits.Cancel, c.Limits.Probe = rng.IntN(2) == 0, rng.IntN(3) > 0, rng.IntN(3) > 0
-	c.ConnectTime = between(rng, 0, 400*ms)
-	c.IdleClose = between(rng, time.Second, 30*time.Second)
+	c.ConnectTime = randomDuration(rng, 0, 400*ms)
+	c.IdleClose = randomDuration(rng, time.Second, 30*time.Second)
 	c.Subscribe = rng.IntN(2) == 0
 	c.Zone = rng.IntN(3) // zone 2 holds no server
 	c.Prices.CrossZone = float64(rng.IntN(4)) / 8
 	c.Safety.FallMultiple = 2 + rng.Float64()*2
 	c.Safety.StartShare = 0.1 + rng.Float64()*0.4
-	c.Safety.WarmAfter = between(rng, 2*time.Second, 20*time.Second)
+	c.Safety.WarmAfter = randomDuration(rng, 2*time.Second, 20*time.Second)
 	return c
 }
 
 // TestRulesHoldUnderDrawnSettings is TestRulesHold for deployments drawn from seeds.
-func TestRulesHoldUnderDrawnSettings(t *testing.T) {
+func TestRulesHoldUnderRandomConfig(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		k := newChecker(t, drawConfig(rand.New(rand.NewPCG(seed, 2))), seed)
-		k.troubles(fleet(18), 6*time.Second)
+		k := newChecker(t, randomConfig(rand.New(rand.NewPCG(seed, 2))), seed)
+		k.playRandomEvents(testServers(18), 6*time.Second)
 		if len(k.requests) > 0 || len(k.b.requests) > 0 {
 			t.Errorf("seed %d: %d requests open, %d kept by the module", seed, len(k.requests), len(k.b.requests))
 		}
@@ -123,14 +123,14 @@
 }
 
 // order is where each number of a list of n stands in another order of it.
-type order []int
+type permutation []int
 
-func drawOrder(rng *rand.Rand, n int) order { return rng.Perm(n) }
+func randomPermutation(rng *rand.Rand, n int) permutation { return rng.Perm(n) }
 
 // numbers are the orders of classes, zones, cells and kinds in which another deployment says the same.
-type numbers struct{ classes, zones, cells, kinds order }
+type renumbering struct{ classes, zones, cells, kinds permutation }
 
-func (n numbers) config(c Config) Config {
+func (n renumbering) config(c Config) Config {
 	classes := make([]Class, len(c.Classes))
 	for i, k := range c.Classes {
 		classes[n.classes[i]] = k
@@ -139,7 +139,7 @@
 	return c
 }
 
-func (n numbers) event(e Event) Event {
+func (n renumbering) event(e Event) Event {
 	e.Class = n.classes[e.Class]
 	e.Servers = slices.Clone(e.Servers)
 	for i := range e.Servers {
@@ -152,24 +152,24 @@
 // TestOrderOfSettingsDecidesNothing plays two modules with one seed the same day, where the settings of the second list the
 // classes, zones, cells and kinds in another order: what they do is the same to the last action. The module knows names by
 // their places alone, so other names change nothing either.
-func TestOrderOfSettingsDecidesNothing(t *testing.T) {
+func TestDecisionsIgnoreConfigOrder(t *testing.T) {
 	const zones, cells, kinds = 3, 20, 4
 	for seed := uint64(1); seed <= 25; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		c := drawConfig(rng)
-		n := numbers{drawOrder(rng, len(c.Classes)), drawOrder(rng, zones), drawOrder(rng, cells), drawOrder(rng, kinds)}
-		list := fleet(18)
+		c := randomConfig(rng)
+		n := renumbering{randomPermutation(rng, len(c.Classes)), randomPermutation(rng, zones), randomPermutation(rng, cells), randomPermutation(rng, kinds)}
+		list := testServers(18)
 		for i := range list {
 			list[i].Kind = rng.IntN(kinds)
 		}
 		k := newChecker(t, c, seed)
 		other := New(n.config(c), seed)
-		k.mirror = func(e Event, actions []Action) {
+		k.observe = func(e Event, actions []Action) {
 			if got := other.Handle(k.now, n.event(e)); len(got)+len(actions) > 0 && !reflect.DeepEqual(actions, got) {
 				t.Fatalf("seed %d, %v, %+v: in the order %+v of the settings\n%+v\nelse\n%+v", seed, k.now, e, n, got, actions)
 			}
 		}
-		k.troubles(list, 6*time.Second)
+		k.playRandomEvents(list, 6*time.Second)
 		if k.sends < 30 {
 			t.Errorf("seed %d: only %d sends", seed, k.sends)
 		}
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -10,14 +10,14 @@
 	c.Limits.MaxAttempts = 9
 	k := newChecker(t, c, 4)
 	k.outcome = func(Server) (time.Duration, Status) { return ms, Full }
-	k.event(Event{Kind: Members, Servers: fleet(12)})
-	drive(k, 200, 0, 50*ms)
+	k.event(Event{Kind: Members, Servers: testServers(12)})
+	sendRequests(k, 200, 0, 50*ms)
 	if k.sends > 200*12/10 {
 		t.Errorf("%d sends for 200 requests", k.sends)
 	}
 }
 
-func TestDefinedAnswers(t *testing.T) {
+func TestEveryRequestIsAnswered(t *testing.T) {
 	one := []Server{{ID: 1, State: Ready}}
 	tests := []struct {
 		name   string
@@ -34,14 +34,14 @@
 		{"no idle close", func(c *Config) { c.IdleClose = 0 }, one, true},
 		{"no aim", func(c *Config) { c.Classes[0].Aim = 0 }, one, true},
 		{"weightless", func(c *Config) { c.Weights = WeightsLive }, one, true},
-		{"thousands of servers", func(c *Config) {}, fleet(5000), true},
+		{"thousands of servers", func(c *Config) {}, testServers(5000), true},
 	}
 	for _, tt := range tests {
 		c := testConfig()
 		tt.change(&c)
 		k := newChecker(t, c, 10)
 		k.event(Event{Kind: Members, Servers: tt.list})
-		drive(k, 20, 0, 100*ms)
+		sendRequests(k, 20, 0, 100*ms)
 		for range 400 {
 			k.step()
 		}
@@ -52,8 +52,8 @@
 }
 
 // A process that has gone or restarted leaves outcomes behind; they say nothing of the one that follows it.
-func TestLateOutcomes(t *testing.T) {
-	b, list, now := New(testConfig(), 1), fleet(1), time.Hour
+func TestOutcomesOfFormerProcessAreIgnored(t *testing.T) {
+	b, list, now := New(testConfig(), 1), testServers(1), time.Hour
 	b.Handle(now, Event{Kind: Members, Servers: list})
 	b.Handle(now, Event{Kind: Request, ID: 1, Budget: time.Second})
 	b.Handle(now, Event{Kind: Request, ID: 2, Budget: time.Second})
@@ -62,21 +62,21 @@
 	for id := range uint64(2) {
 		b.Handle(now, Event{Kind: Outcome, ID: id + 1, Server: 100, Status: Reset, Latency: ms, Done: true})
 	}
-	if s := b.servers[100]; s.in != &s.tier.live || s.strikes > 0 || s.out > 0 {
-		t.Errorf("in use %v, strikes %d, out %d", s.in == &s.tier.live, s.strikes, s.out)
+	if s := b.servers[100]; s.pool != &s.tier.active || s.failures > 0 || s.outstanding > 0 {
+		t.Errorf("in use %v, strikes %d, out %d", s.pool == &s.tier.active, s.failures, s.outstanding)
 	}
 }
 
 // A spoilt answer is no sign of load: what may be repeated is sent elsewhere without regard to the budget.
-func TestSpoiltIsRepeated(t *testing.T) {
+func TestUnreadableAnswerIsRetriedWithoutBudget(t *testing.T) {
 	for class, want := range map[int]bool{0: true, 1: false} {
 		c := testConfig()
 		c.Classes = []Class{{Aim: time.Second, Worth: 1}, {Aim: time.Second, Worth: 1, Effect: Unsafe}}
 		b := New(c, 1)
-		b.Handle(time.Hour, Event{Kind: Members, Servers: fleet(4)})
-		b.tokens = 0
+		b.Handle(time.Hour, Event{Kind: Members, Servers: testServers(4)})
+		b.retryTokens = 0
 		to := b.Handle(time.Hour, Event{Kind: Request, ID: 1, Class: class, Budget: time.Second})[0].Server
-		b.tokens = 0
+		b.retryTokens = 0
 		acts := b.Handle(time.Hour, Event{Kind: Outcome, ID: 1, Server: to, Status: Spoilt, Latency: ms})
 		if len(acts) == 0 || (acts[0].Kind == Send) != want {
 			t.Errorf("class %d: %+v", class, acts)
@@ -90,8 +90,8 @@
 	b := New(testConfig(), 1)
 	list := []Server{{ID: 1, Cell: 1, State: Ready}, {ID: 2, Cell: 1, State: Ready}, {ID: 3, Cell: 2, State: Ready}}
 	b.Handle(time.Hour, Event{Kind: Members, Servers: list})
-	r := &request{class: &b.classes[3], end: b.now + 2*time.Second,
-		tries: []attempt{{s: b.servers[1], at: b.servers[1].Server, sent: b.now, ran: true}}}
+	r := &request{class: &b.classes[3], deadline: b.now + 2*time.Second,
+		attempts: []attempt{{target: b.servers[1], listed: b.servers[1].Server, sentAt: b.now, mayHaveRun: true}}}
 	b.Handle(b.now, Event{Kind: Members, List: ListDelta, Servers: []Server{{ID: 1, Cell: 2, State: Ready}}})
 	if !b.maySend(r, b.servers[2]) || b.maySend(r, b.servers[3]) {
 		t.Errorf("to the first cell's other server %v, to the new cell's %v", b.maySend(r, b.servers[2]), b.maySend(r, b.servers[3]))
@@ -102,12 +102,12 @@
 // a call takes long.
 func TestSecondCopyNeedsEvidence(t *testing.T) {
 	for name, test := range map[string]struct {
-		strikes, want int
+		failures, want int
 	}{"none": {0, 0}, "a failure before": {1, 1}} {
 		c := testConfig()
 		c.Limits.SecondCopies, c.Limits.Cancel = true, true
 		b := New(c, 3)
-		b.Handle(time.Hour, Event{Kind: Members, Servers: fleet(12)})
+		b.Handle(time.Hour, Event{Kind: Members, Servers: testServers(12)})
 		var wakes []Action
 		first := ServerID(0)
 		for _, a := range b.Handle(b.now, Event{Kind: Request, ID: 1, Class: 0, Budget: 3 * time.Second}) {
@@ -118,7 +118,7 @@
 				wakes = append(wakes, a)
 			}
 		}
-		b.servers[first].strikes = test.strikes
+		b.servers[first].failures = test.failures
 		copies := 0
 		for _, w := range wakes {
 			for _, a := range b.Handle(b.now+w.Wait, Event{Kind: Timer, Token: w.Token}) {
--- a/decide/rules.go
+++ b/decide/rules.go
@@ -2,83 +2,86 @@
 
 import "time"
 
-// The rules. Every send and every refusal passes here, whatever the policy wants.
+// This file holds the safety rules. Every attempt and every refusal is checked here, whatever the policy
+// chose.
 
-// first is the earliest attempt that may have run or is still out.
-func (r *request) first() *attempt {
-	for i := range r.tries {
-		if r.tries[i].open || r.tries[i].ran {
-			return &r.tries[i]
+// firstPossiblyRun returns the earliest attempt that is outstanding or may have run, or nil.
+func (r *request) firstPossiblyRun() *attempt {
+	for i := range r.attempts {
+		if r.attempts[i].open || r.attempts[i].mayHaveRun {
+			return &r.attempts[i]
 		}
 	}
 	return nil
 }
 
-// runsAgain tells whether a further attempt is lawful at any server at all, as to effects.
-func (b *Balancer) runsAgain(r *request) bool {
-	first := r.first()
+// mayRunAgain reports whether the effect class permits a further attempt at any server.
+func (b *Balancer) mayRunAgain(r *request) bool {
+	first := r.firstPossiblyRun()
 	if first == nil || r.class.Effect == Safe {
 		return true
 	}
-	return r.class.Effect == Keyed && b.now+b.c.ConnectTime < first.sent+r.class.Window
+	return r.class.Effect == Keyed && b.now+b.config.ConnectTime < first.sentAt+r.class.Window
 }
 
-// repeatable tells whether a further attempt at s is lawful as to effects.
-func (b *Balancer) repeatable(r *request, s *server) bool {
-	first := r.first()
+// mayRunAgainOn reports whether the effect class permits a further attempt at s.
+func (b *Balancer) mayRunAgainOn(r *request, s *server) bool {
+	first := r.firstPossiblyRun()
 	if first == nil || r.class.Effect == Safe {
 		return true
 	}
-	if !b.runsAgain(r) {
+	if !b.mayRunAgain(r) {
 		return false
 	}
-	sameZone := r.class.Group != GroupZone || s.Zone == first.at.Zone
-	sameCell := r.class.Group != GroupCell || s.Cell == first.at.Cell
+	sameZone := r.class.Group != GroupZone || s.Zone == first.listed.Zone
+	sameCell := r.class.Group != GroupCell || s.Cell == first.listed.Cell
 	return sameZone && sameCell
 }
 
-// maySend is the gate of every send: live request, listed ready server (drains are kept at once, the grace
-// is never used), attempts left, no forbidden second copy, no effect twice, no cold server pushed over.
+// maySend checks every attempt: the request is not done, the server is listed as ready (a draining server
+// gets nothing from the start of its drain, the grace period is not used), attempts are left, second copies
+// are permitted, the request cannot take effect twice, and a warming server is not overloaded.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	return !r.over && b.now < r.end && len(r.tries) < b.c.Limits.MaxAttempts && s.in != nil &&
-		(r.out == 0 || b.c.Limits.SecondCopies) && b.repeatable(r, s) && (b.share(s) >= 1 || s.credit >= 1)
+	return !r.done && b.now < r.deadline && len(r.attempts) < b.config.Limits.MaxAttempts && s.pool != nil &&
+		(r.outstanding == 0 || b.config.Limits.SecondCopies) &&
+		b.mayRunAgainOn(r, s) && (b.minCapacityShare(s) >= 1 || s.credit >= 1)
 }
 
-// mayRefuse tells whether "trying again is harmless" would be true.
+// mayRefuse reports whether a retry by the client is harmless, which a refusal promises.
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.first() == nil || r.class.Effect == Safe ||
+	return r.firstPossiblyRun() == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Group == GroupAll
 }
 
-// answer gives the final answer, as a refusal where that is lawful. While the aim can still be met the
-// client may come back at once; after that each further try is load for nothing.
-func (b *Balancer) answer(r *request) {
-	if r.over {
+// reject ends a request with a refusal where that is permitted, else with a failure. While the aim can
+// still be met the client may retry at once; after that a retry would only add load.
+func (b *Balancer) reject(r *request) {
+	if r.done {
 		return
 	}
 	if b.mayRefuse(r) {
 		wait := time.Duration(0)
-		if b.late(r) {
-			wait = b.c.Limits.MaxRetryAfter
+		if b.tooLate(r) {
+			wait = b.config.Limits.MaxRetryAfter
 		}
-		b.act(Action{Kind: Refuse, ID: r.id, Wait: wait})
+		b.addAction(Action{Kind: Refuse, ID: r.id, Wait: wait})
 	} else {
-		b.act(Action{Kind: Fail, ID: r.id})
+		b.addAction(Action{Kind: Fail, ID: r.id})
 	}
 	b.finish(r)
 }
 
-// finish drops a request once it is over and its attempts are closed; attempts still out are called off.
+// finish cancels the outstanding attempts of a request and removes it once all its attempts are closed.
 func (b *Balancer) finish(r *request) {
-	if !r.over && b.c.Limits.Cancel {
-		for i := range r.tries {
-			if r.tries[i].open {
-				b.act(Action{Kind: Cancel, ID: r.id, Attempt: i})
+	if !r.done && b.config.Limits.Cancel {
+		for i := range r.attempts {
+			if r.attempts[i].open {
+				b.addAction(Action{Kind: Cancel, ID: r.id, Attempt: i})
 			}
 		}
 	}
-	r.over = true
-	if r.out == 0 {
+	r.done = true
+	if r.outstanding == 0 {
 		delete(b.requests, r.id)
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -16,7 +16,7 @@
 		c.Subscribe = seed%4 == 0
 		c.Zone = int(seed % 3) // zone 2 holds no server
 		k := newChecker(t, c, seed)
-		k.troubles(fleet(18), 20*time.Second)
+		k.playRandomEvents(testServers(18), 20*time.Second)
 		if len(k.requests) > 0 || len(k.b.requests) > 0 {
 			t.Errorf("seed %d: %d requests open, %d kept by the module", seed, len(k.requests), len(k.b.requests))
 		}
@@ -29,12 +29,12 @@
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (n int, sum uint64) {
 		k := newChecker(t, testConfig(), 5)
-		k.event(Event{Kind: Members, List: ListFull, Servers: fleet(18)})
-		k.event(Event{Kind: Members, List: ListFull, Servers: fleet(9)})
+		k.event(Event{Kind: Members, List: ListFull, Servers: testServers(18)})
+		k.event(Event{Kind: Members, List: ListFull, Servers: testServers(9)})
 		for id := uint64(1); id < 2000; id++ {
 			k.step()
-			k.ask(id, int(id%5), time.Second)
-			for _, try := range k.requests[id].tries {
+			k.sendRequest(id, int(id%5), time.Second)
+			for _, try := range k.requests[id].attempts {
 				sum = sum*31 + uint64(try.server.ID)
 			}
 		}
@@ -48,7 +48,7 @@
 }
 
 // TestLawful states, class by class, what may follow an attempt with a given end.
-func TestLawful(t *testing.T) {
+func TestRetryAndRefusalRules(t *testing.T) {
 	const same, zone, other = 0, 1, 2 // servers: the first's cell, the zone, the other zone
 	tests := []struct {
 		name    string
@@ -75,9 +75,9 @@
 		b.Handle(time.Hour, Event{Kind: Members, Servers: []Server{
 			{ID: 1, Zone: 0, Cell: 1, State: Ready}, {ID: 2, Zone: 0, Cell: 1, State: Ready},
 			{ID: 3, Zone: 0, Cell: 2, State: Ready}, {ID: 4, Zone: 1, Cell: 3, State: Ready}}})
-		ran := tt.status != Full && tt.status != ConnectFailed && tt.status != Moot
-		r := &request{class: &b.classes[tt.class], end: b.now + 2*time.Second,
-			tries: []attempt{{s: b.servers[1], at: b.servers[1].Server, sent: b.now, ran: ran}}}
+		mayHaveRun := tt.status != Full && tt.status != ConnectFailed && tt.status != Moot
+		r := &request{class: &b.classes[tt.class], deadline: b.now + 2*time.Second,
+			attempts: []attempt{{target: b.servers[1], listed: b.servers[1].Server, sentAt: b.now, mayHaveRun: mayHaveRun}}}
 		b.now += tt.wait
 		for i, id := range [...]ServerID{same: 2, zone: 3, other: 4} {
 			if got := b.maySend(r, b.servers[id]); got != tt.resend[i] {
@@ -91,7 +91,7 @@
 }
 
 // TestGate: what stops a send whatever the policy asks for.
-func TestGate(t *testing.T) {
+func TestMaySend(t *testing.T) {
 	c := testConfig()
 	c.Limits.SecondCopies, c.Limits.MaxAttempts = false, 2
 	b := New(c, 1)
@@ -100,7 +100,7 @@
 	gone := b.servers[3]
 	b.Handle(time.Hour, Event{Kind: Members, List: ListDelta, Servers: []Server{{ID: 3}}})
 	b.servers[4].credit = 0.9
-	fresh := func() *request { return &request{class: &b.classes[0], end: b.now + time.Second} }
+	fresh := func() *request { return &request{class: &b.classes[0], deadline: b.now + time.Second} }
 	if !b.maySend(fresh(), b.servers[1]) {
 		t.Error("a plain send is stopped")
 	}
@@ -110,10 +110,10 @@
 		}
 	}
 	for name, change := range map[string]func(r *request){
-		"over":         func(r *request) { r.over = true },
-		"past its end": func(r *request) { r.end = b.now },
-		"running":      func(r *request) { r.out, r.tries = 1, []attempt{{s: b.servers[1], open: true}} },
-		"out of tries": func(r *request) { r.tries = make([]attempt, 2) },
+		"over":         func(r *request) { r.done = true },
+		"past its end": func(r *request) { r.deadline = b.now },
+		"running":      func(r *request) { r.outstanding, r.attempts = 1, []attempt{{target: b.servers[1], open: true}} },
+		"out of tries": func(r *request) { r.attempts = make([]attempt, 2) },
 	} {
 		r := fresh()
 		change(r)
@@ -125,11 +125,11 @@
 
 // TestColdZone: part of a lost zone comes back cold. All sidecars together must stay under the multiple of what
 // each server can do, in every window of the stated length, retries and trials counted.
-func TestColdZone(t *testing.T) {
+func TestSlowStartOfReturningZone(t *testing.T) {
 	const sidecars, perSecond = 60, 4.0
 	c := testConfig()
 	c.Classes = c.Classes[:1]
-	list := fleet(12)
+	list := testServers(12)
 	var ks []*checker
 	for i := range sidecars {
 		k := newChecker(t, c, uint64(i+1))
@@ -158,8 +158,8 @@
 			k.step()
 			if k.rng.Float64() < perSecond*c.Tick.Seconds() {
 				id++
-				k.ask(id, 0, time.Second)
-				for _, try := range k.requests[id].tries {
+				k.sendRequest(id, 0, time.Second)
+				for _, try := range k.requests[id].attempts {
 					if s := try.server; s.Started == restarted {
 						recent[s.ID] = append(recent[s.ID], now)
 					}
--- a/decide/state.go
+++ b/decide/state.go
@@ -9,219 +9,226 @@
 	"time"
 )
 
-// This file holds the module's state and the index of servers. Nothing here decides.
+// This file holds the state of the balancer and the server index. It contains no decisions.
 
-// Tokens of timers: kind in the top bits, then an attempt number, then an id.
+// Timer tokens: the kind is in the top bits, followed by an attempt index and an ID.
 const (
-	tokOverdue = iota + 1
-	tokHold
-	tokServer
-	tokWatch
-	tokKind = 60
-	tokTry  = 52
-	tokID   = 1<<tokTry - 1
+	timerOverdue = iota + 1
+	timerHold
+	timerServer
+	timerWatch
+	tokenKindShift    = 60
+	tokenAttemptShift = 52
+	tokenIDMask       = 1<<tokenAttemptShift - 1
 )
 
-// Balancer decides for one sidecar. It is not safe for concurrent use.
+// Balancer makes the decisions for one sidecar. It is not safe for concurrent use.
 type Balancer struct {
-	c         Config
-	rng       *rand.Rand
-	now       time.Duration
-	acts      []Action
-	servers   map[ServerID]*server
-	cells     map[int][]*server
-	zones     map[int][]*server
-	tiers     [2]tier // by rank, best first: own zone, any other
-	wmax      float64
-	classes   []class
-	kinds     []kind
-	meanWorth float64
-	anySafe   bool
-	requests  map[uint64]*request
-	tokens    float64
-	out       int     // attempts out
-	away      float64 // share of calls that leave the own zone for its load
-	leanAt    time.Duration
-	rate      float64 // requests per second
-	near      []*server
-	usage     []float64 // requests by tenant, decayed
-	quotas    float64   // of all tenants
-	flowAt    time.Duration
-	failures  int
-	shedding  bool
-	logAt     time.Duration
+	config            Config
+	rng               *rand.Rand
+	now               time.Duration
+	actions           []Action
+	servers           map[ServerID]*server
+	cells             map[int][]*server
+	zones             map[int][]*server
+	tiers             [2]tier // best first: own zone, all others
+	maxWeight         float64
+	classes           []class
+	kindStats         []kindStats
+	meanWorth         float64
+	hasSafeClass      bool
+	requests          map[uint64]*request
+	retryTokens       float64
+	outstanding       int     // open attempts at all servers
+	crossZoneShare    float64 // share of requests that leave the own zone because of its load
+	crossZoneShareAt  time.Duration
+	requestRate       float64 // requests per second
+	subsetBuffer      []*server
+	tenantRequests    []float64 // requests by tenant, decayed
+	totalQuota        float64   // over all tenants
+	rateUpdatedAt     time.Duration
+	discoveryFailures int
+	shedding          bool
+	nextShedLog       time.Duration
 }
 
-// New returns a Balancer for one sidecar; seed makes its random draws repeatable.
-func New(c Config, seed uint64) *Balancer {
-	b := &Balancer{c: c, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), tokens: retryBurst,
-		servers: map[ServerID]*server{}, requests: map[uint64]*request{}}
-	b.usage = make([]float64, max(len(c.Tenants), 1))
-	for _, t := range c.Tenants {
-		b.quotas += t.Quota
+// New returns a Balancer for one sidecar; the seed makes its random draws reproducible.
+func New(config Config, seed uint64) *Balancer {
+	b := &Balancer{config: config, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		retryTokens: retryBudgetBurst,
+		servers:     map[ServerID]*server{}, requests: map[uint64]*request{}}
+	b.tenantRequests = make([]float64, max(len(config.Tenants), 1))
+	for _, t := range config.Tenants {
+		b.totalQuota += t.Quota
 	}
-	for _, k := range c.Classes {
+	for _, k := range config.Classes {
 		aim := max(k.Aim, time.Millisecond).Seconds()
-		b.classes = append(b.classes, class{Class: k, mean: aim / 3, dev: aim / 8, base: aim / 3,
-			flow: make([]float64, len(b.usage))})
-		b.anySafe = b.anySafe || k.Effect == Safe
-		b.meanWorth += k.Worth / float64(len(c.Classes))
+		b.classes = append(b.classes, class{Class: k,
+			meanLatency: aim / 3, latencyDeviation: aim / 8, baseLatency: aim / 3,
+			workByTenant: make([]float64, len(b.tenantRequests))})
+		b.hasSafeClass = b.hasSafeClass || k.Effect == Safe
+		b.meanWorth += k.Worth / float64(len(config.Classes))
 	}
 	return b
 }
 
-func (b *Balancer) act(a Action) { b.acts = append(b.acts, a) }
+func (b *Balancer) addAction(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*b.rng.Float64()))
 }
 
 func (b *Balancer) log(format string, args ...any) {
-	b.act(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
+	b.addAction(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-// pool is an indexed set of servers: a draw is O(1), so is a change.
+// pool is an indexed set of servers with draws and changes in O(1).
 type pool struct {
-	list []*server
-	w    float64 // sum of weights
+	members     []*server
+	totalWeight float64 // sum of the members' weights
 }
 
+// server is a listed server with its health and slow-start state.
 type server struct {
 	Server
-	weight  float64
-	in      *pool // one of its tier's pools, nil while not ready
-	pos     int
-	tier    *tier
-	out     int // own attempts out
-	overdue int // of these, overdue
-	strikes int // failures since the last answer
-	level   int // ejections in a row
-	wins    int // answers while half-open
-	spoilt  int // unreadable answers since the last good one
-	until   time.Duration
-	okAt    time.Duration // of the last answer
-	seen    time.Duration // of what the stretch was last learned from
-	stretch float64       // latency against that of the class, averaged
-	lot     uint64        // place in the tier's order
-	credit  float64       // sends that a warming server may be given, see earn
-	wholeAt time.Duration // since when that is a whole one
+	weight          float64
+	pool            *pool // a pool of its tier, nil while not ready
+	poolIndex       int
+	tier            *tier
+	outstanding     int // open attempts of this balancer
+	overdue         int // open attempts that are overdue
+	failures        int // weighted, since the last answer
+	ejections       int // in a row; lengthens the next one
+	trialSuccesses  int // in a row while half-open
+	unreadable      int // answers in a row
+	ejectedUntil    time.Duration
+	lastSuccess     time.Duration
+	latencyRatioAt  time.Duration // when latencyRatio was last updated
+	latencyRatio    float64       // moving average of latency over the mean of the class
+	orderKey        uint64        // random position in tier.order
+	credit          float64       // attempts that may be sent while warming, see earnCredit
+	fullCreditSince time.Duration // when the credit reached 1
 }
 
+// tier is a group of servers of equal locality, with its load and health signals.
 type tier struct {
-	live, bad, half pool // in use; ejected; half-open
-	warming         []*server
-	order           []*server // all ready ones, in an order of this sidecar's own
-	ref             float64   // weight that this tier's clients are used to
-	refAt           time.Duration
-	load            float64 // share of the slack that waiting takes
-	debt            float64 // the lasting part of the pressure, summed up from the load
-	loadAt          time.Duration
-	unfelt          int // requests shed since the load was last felt
-	lastOK          time.Duration
-	since           time.Duration // start of the present silence
-	misses          int
+	active, ejected, halfOpen pool // by circuit breaker state
+	warming                   []*server
+	order                     []*server // all ready servers, in an order random for each balancer
+	referenceWeight           float64   // usual total weight; falls slowly when servers leave the list
+	referenceWeightAt         time.Duration
+	load                      float64 // moving average of the share of the slack spent waiting
+	sustainedPressure         float64 // part of the pressure that is integrated from the load
+	loadUpdatedAt             time.Duration
+	unsampledSheds            int // requests shed since the last load sample
+	lastAnswer                time.Duration
+	silentSince               time.Duration // last answer, or the first attempt before any answer
+	misses                    int
 }
 
+// class is a request class with its measured latency and arriving work.
 type class struct {
 	Class
-	mean, dev, base float64 // seconds; base is the mean with little waiting
-	n               float64
-	flow            []float64 // arriving work by tenant, decayed
+	meanLatency, latencyDeviation, baseLatency float64 // seconds; base: with little queueing
+	samples                                    float64
+	workByTenant                               []float64 // decayed sum of arriving work
 }
 
-// kind is what the servers of one machine kind show together.
-type kind struct {
-	mean float64 // latency against that of the class, averaged
-	n    float64 // samples
+// kindStats is the measured relative latency of the servers of one machine kind.
+type kindStats struct {
+	meanLatency float64 // moving average of latency over the mean of the class
+	samples     float64
 }
 
+// attempt is one attempt of a request at a server.
 type attempt struct {
-	s       *server
-	at      Server // as it was listed then
-	sent    time.Duration
-	open    bool
-	ran     bool // closed, and it may have run
-	overdue bool
+	target     *server
+	listed     Server // the server's list entry when the attempt was sent
+	sentAt     time.Duration
+	open       bool
+	mayHaveRun bool // closed, and the server may have run it
+	overdue    bool
 }
 
+// request is a request in progress, or one that is done with attempts still open.
 type request struct {
-	id       uint64
-	class    *class
-	tenant   int
-	start    time.Duration
-	end, aim time.Duration // when the client gives up; when the worth falls
-	tries    []attempt
-	out      int
-	over     bool
-	resend   bool // an attempt was cancelled to try elsewhere
-	long     bool // nobody can tell when an attempt of it is overdue
+	id            uint64
+	class         *class
+	tenant        int
+	arrivedAt     time.Duration
+	deadline, aim time.Duration // when the client gives up; when the class's aim is missed
+	attempts      []attempt
+	outstanding   int
+	done          bool
+	retryOnCancel bool // an attempt was cancelled to retry elsewhere
+	openEnded     bool // its upload takes unknown time, so no attempt is ever overdue
 }
 
-// heard notes an answer from a tier.
-func (t *tier) heard(now time.Duration) { t.lastOK, t.since, t.misses = now, now, 0 }
+// recordAnswer notes an answer from a tier and ends its silence.
+func (t *tier) recordAnswer(now time.Duration) { t.lastAnswer, t.silentSince, t.misses = now, now, 0 }
 
-// kind is what is known of the servers of a server's kind.
-func (b *Balancer) kind(s *server) *kind {
-	for len(b.kinds) <= min(max(s.Kind, 0), mostKinds) {
-		b.kinds = append(b.kinds, kind{mean: 1})
+// statsFor returns the statistics of a server's machine kind.
+func (b *Balancer) statsFor(s *server) *kindStats {
+	for len(b.kindStats) <= min(max(s.Kind, 0), maxKind) {
+		b.kindStats = append(b.kindStats, kindStats{meanLatency: 1})
 	}
-	return &b.kinds[min(max(s.Kind, 0), mostKinds)]
+	return &b.kindStats[min(max(s.Kind, 0), maxKind)]
 }
 
-// mostKinds bounds the table of kinds; what lies beyond shares the last place.
-const mostKinds = 63
+// maxKind bounds the table of machine kinds; higher numbers share the last entry.
+const maxKind = 63
 
-// move puts a server into a pool, or into none.
+// move puts a server into a pool, or takes it out of its pool if to is nil.
 func (b *Balancer) move(s *server, to *pool) {
-	if p := s.in; p != nil {
-		last := p.list[len(p.list)-1]
-		p.list[s.pos], last.pos = last, s.pos
-		p.list = p.list[:len(p.list)-1]
-		p.w -= s.weight
+	if p := s.pool; p != nil {
+		last := p.members[len(p.members)-1]
+		p.members[s.poolIndex], last.poolIndex = last, s.poolIndex
+		p.members = p.members[:len(p.members)-1]
+		p.totalWeight -= s.weight
 	}
-	if b.c.Marks {
-		b.mark(s, to)
+	if b.config.Marks {
+		b.addMark(s, to)
 	}
-	if s.in = to; to != nil {
-		s.pos = len(to.list)
-		to.list = append(to.list, s)
-		to.w += s.weight
+	if s.pool = to; to != nil {
+		s.poolIndex = len(to.members)
+		to.members = append(to.members, s)
+		to.totalWeight += s.weight
 	}
 }
 
-// mark tells a trace where a server moves.
-func (b *Balancer) mark(s *server, to *pool) {
+// addMark reports to the trace which pool a server moves to.
+func (b *Balancer) addMark(s *server, to *pool) {
 	text := "none"
 	if t := s.tier; to != nil {
-		text = map[*pool]string{&t.live: "live", &t.bad: "bad", &t.half: "half"}[to]
+		text = map[*pool]string{&t.active: "live", &t.ejected: "bad", &t.halfOpen: "half"}[to]
 	}
-	b.act(Action{Kind: Mark, Server: s.ID, Text: text})
+	b.addAction(Action{Kind: Mark, Server: s.ID, Text: text})
 }
 
-// reindex rebuilds what hangs on the whole list; only list changes come here.
+// reindex rebuilds the indexes over all servers after a change of the list.
 func (b *Balancer) reindex() {
-	b.cells, b.zones, b.wmax = map[int][]*server{}, map[int][]*server{}, 0
+	b.cells, b.zones, b.maxWeight = map[int][]*server{}, map[int][]*server{}, 0
 	for i := range b.tiers {
 		t := &b.tiers[i]
 		t.warming, t.order = t.warming[:0], t.order[:0]
-		for _, p := range []*pool{&t.live, &t.bad, &t.half} {
-			p.w = 0
-			for _, s := range p.list {
-				p.w += s.weight
-				b.wmax = max(b.wmax, s.weight)
+		for _, p := range []*pool{&t.active, &t.ejected, &t.halfOpen} {
+			p.totalWeight = 0
+			for _, s := range p.members {
+				p.totalWeight += s.weight
+				b.maxWeight = max(b.maxWeight, s.weight)
 				t.order = append(t.order, s)
 				b.cells[s.Cell] = append(b.cells[s.Cell], s)
 				b.zones[s.Zone] = append(b.zones[s.Zone], s)
-				if b.share(s) < 1 {
+				if b.minCapacityShare(s) < 1 {
 					t.warming = append(t.warming, s)
 				}
 			}
 		}
-		slices.SortFunc(t.order, func(x, y *server) int { return cmp.Compare(x.lot, y.lot) })
+		slices.SortFunc(t.order, func(x, y *server) int { return cmp.Compare(x.orderKey, y.orderKey) })
 	}
 }
 
-// rank is a tier's rank as the design counts it.
+// rank is the number of a tier in logs and in docs/design.md: 1 for the own zone, 0 for all others.
 func (b *Balancer) rank(t *tier) int {
 	if t == &b.tiers[0] {
 		return 1
@@ -229,34 +236,34 @@
 	return 0
 }
 
-// meanWork is the unhindered time of a request in seconds, over the classes as they come; 0 before the first.
+// meanWork is the mean base latency of the arriving requests in seconds; 0 before the first one.
 func (b *Balancer) meanWork() float64 {
-	flow, n := 0.0, 0.0
+	flow, requests := 0.0, 0.0
 	for i := range b.classes {
-		for _, f := range b.classes[i].flow {
+		for _, f := range b.classes[i].workByTenant {
 			flow += f
 		}
 	}
-	for _, u := range b.usage {
-		n += u
+	for _, u := range b.tenantRequests {
+		requests += u
 	}
-	if n == 0 {
+	if requests == 0 {
 		return 0
 	}
-	return flow / n
+	return flow / requests
 }
 
-// least is the least number of own attempts out at a server that would be drawn from a tier.
-func (b *Balancer) least(t *tier) int {
-	n := math.MaxInt
+// minOutstanding is the lowest number of open attempts among the servers that draws from a tier use.
+func (b *Balancer) minOutstanding(t *tier) int {
+	fewest := math.MaxInt
 	for _, s := range b.subset(t) {
-		n = min(n, s.out)
+		fewest = min(fewest, s.outstanding)
 	}
-	return n
+	return fewest
 }
 
-// tight is the shortest aim, in seconds.
-func (b *Balancer) tight() float64 {
+// shortestAim is the shortest aim of all classes, in seconds.
+func (b *Balancer) shortestAim() float64 {
 	aim := math.Inf(1)
 	for i := range b.classes {
 		aim = min(aim, b.classes[i].Aim.Seconds())
@@ -264,17 +271,18 @@
 	return aim
 }
 
+// tried reports whether an attempt of the request was sent to s.
 func (r *request) tried(s *server) bool {
-	for i := range r.tries {
-		if r.tries[i].s == s {
+	for i := range r.attempts {
+		if r.attempts[i].target == s {
 			return true
 		}
 	}
 	return false
 }
 
-// wake asks for a timer.
-func (b *Balancer) wake(in time.Duration, kind, try int, id uint64) {
-	b.act(Action{Kind: Wake, Wait: max(in, time.Microsecond),
-		Token: uint64(kind)<<tokKind | uint64(try&0xff)<<tokTry | id})
+// setTimer requests a timer event; kind, attempt index and ID are packed into its token.
+func (b *Balancer) setTimer(delay time.Duration, kind, index int, id uint64) {
+	b.addAction(Action{Kind: Wake, Wait: max(delay, time.Microsecond),
+		Token: uint64(kind)<<tokenKindShift | uint64(index&0xff)<<tokenAttemptShift | id})
 }
