--- a/decide/checker_test.go
+++ b/decide/checker_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// testConfig is a deployment of no one's: two zones, one class of each effect and group.
+// testConfig is a deployment with two zones and one class of each effect and group.
 func testConfig() Config {
 	class := func(e Effect, g Group, worth float64) Class {
 		return Class{Aim: 400 * ms, Deadline: 1500 * ms, Worth: worth, Effect: e, Group: g, Window: 700 * ms}
@@ -28,7 +28,7 @@
 	}
 }
 
-// fleet is n ready servers in two zones, cells of three.
+// testServers returns n ready servers in two zones and in cells of three.
 func testServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
@@ -38,7 +38,7 @@
 	return list
 }
 
-// The checker below knows the rules from their wording and nothing of the module's state.
+// checkedAttempt is an attempt as the checker sees it.
 type checkedAttempt struct {
 	server     Server
 	sentAt     time.Duration
@@ -48,6 +48,7 @@
 	status     Status
 }
 
+// checkedRequest is a request as the checker sees it.
 type checkedRequest struct {
 	class    Class
 	deadline time.Duration
@@ -55,6 +56,8 @@
 	done     bool
 }
 
+// checker simulates clients and servers and checks every action against the safety rules. It has its own model and
+// does not use the state of the Balancer.
 type checker struct {
 	t        *testing.T
 	c        Config
@@ -63,11 +66,11 @@
 	now      time.Duration
 	listed   map[ServerID]Server
 	requests map[uint64]*checkedRequest
-	timers   []Event // Latency is misused for the due time
+	timers   []Event // Latency holds the time at which the event is due
 	sends    int
 	answers  int
 	outcome  func(s Server) (time.Duration, Status)
-	observe  func(e Event, actions []Action) // shown every event and what the module does; nil for none
+	observe  func(e Event, actions []Action) // called with every event and its actions; may be nil
 }
 
 func newChecker(t *testing.T, c Config, seed uint64) *checker {
@@ -76,6 +79,7 @@
 		outcome: func(Server) (time.Duration, Status) { return 50 * ms, OK }}
 }
 
+// event passes an event to the Balancer and checks the resulting actions.
 func (k *checker) event(e Event) {
 	if e.Kind == Members && e.List != ListFailed {
 		if e.List != ListDelta {
@@ -97,12 +101,13 @@
 	}
 }
 
+// action checks an action against the rules and applies it to the model.
 func (k *checker) action(a Action) {
 	t, r := k.t, k.requests[a.ID]
 	switch a.Kind {
 	case Send, Refuse, Fail, Cancel:
 		if r == nil {
-			t.Fatalf("action %+v for a request never given", a)
+			t.Fatalf("action %+v for an unknown request", a)
 		}
 	}
 	switch a.Kind {
@@ -110,15 +115,15 @@
 		k.sends++
 		s, ok := k.listed[a.Server]
 		if !ok || s.State != Ready {
-			t.Errorf("%v: sent to a server told to be %v", k.now, s.State)
+			t.Errorf("%v: sent to a server in state %v", k.now, s.State)
 		}
 		if r.done || k.now >= r.deadline {
-			t.Errorf("%v: sent after the request was over", k.now)
+			t.Errorf("%v: sent after the request was done", k.now)
 		}
 		if len(r.attempts) >= k.c.Limits.MaxAttempts {
-			t.Errorf("%v: attempt %d", k.now, len(r.attempts)+1)
+			t.Errorf("%v: attempt %d exceeds the limit", k.now, len(r.attempts)+1)
 		}
-		var before time.Duration // the end of the window, where there is one
+		var before time.Duration // the end of the deduplication window, if there is one
 		if r.class.Effect == Keyed && k.c.Limits.SecondCopies {
 			before = k.now + r.class.Window
 		}
@@ -128,7 +133,7 @@
 			}
 		}
 		if a.Before != before {
-			t.Errorf("%v: to go out before %v, want %v", k.now, a.Before, before)
+			t.Errorf("%v: send before %v, want %v", k.now, a.Before, before)
 		}
 		for _, try := range r.attempts {
 			if try.open && !k.c.Limits.SecondCopies {
@@ -141,7 +146,7 @@
 				(r.class.Group == GroupAll || r.class.Group == GroupZone && s.Zone == try.server.Zone ||
 					r.class.Group == GroupCell && s.Cell == try.server.Cell)
 			if !lawful {
-				t.Errorf("%v: effect twice: %+v after %+v", k.now, s, *try)
+				t.Errorf("%v: may take effect twice: %+v after %+v", k.now, s, *try)
 			}
 		}
 		after, status := k.outcome(s)
@@ -157,7 +162,7 @@
 		for _, try := range r.attempts {
 			if (try.open || try.mayHaveRun) && r.class.Effect != Safe &&
 				!(r.class.Effect == Keyed && r.class.Group == GroupAll) {
-				t.Errorf("%v: refused though it may have run", k.now)
+				t.Errorf("%v: refused although it may have run", k.now)
 			}
 		}
 		k.final(r)
@@ -165,7 +170,7 @@
 		k.final(r)
 	case Cancel:
 		if a.Attempt >= len(r.attempts) {
-			t.Fatalf("%v: cancelled an attempt never made", k.now)
+			t.Fatalf("%v: cancelled an unknown attempt", k.now)
 		}
 		if try := r.attempts[a.Attempt]; try.open && k.c.Limits.Cancel {
 			try.endsAt, try.status = k.now, Cancelled
@@ -174,13 +179,14 @@
 		k.timers = append(k.timers, Event{Kind: Timer, Token: a.Token, Latency: k.now + a.Wait})
 	case Probe:
 		if _, ok := k.listed[a.Server]; !ok || !k.c.Limits.Probe {
-			t.Errorf("%v: probe of %d", k.now, a.Server)
+			t.Errorf("%v: unexpected probe of server %d", k.now, a.Server)
 		}
 		k.timers = append(k.timers, Event{Kind: Probed, Server: a.Server, Status: Status(k.rng.IntN(2)),
 			Latency: k.now + 3*ms})
 	}
 }
 
+// final records the final answer of a request.
 func (k *checker) final(r *checkedRequest) {
 	if r.done {
 		k.t.Errorf("%v: second final answer", k.now)
@@ -192,7 +198,7 @@
 	k.answers++
 }
 
-// step moves the clock by a tick and delivers what is due, timers first.
+// step advances the clock by a tick and delivers the events that are due, timers first.
 func (k *checker) step() {
 	k.now += k.c.Tick
 	due := k.timers
@@ -231,7 +237,7 @@
 				Latency: k.now - try.sentAt, Done: r.done})
 		}
 		if k.now > r.deadline+k.c.Safety.AnswerSlack && !r.done {
-			k.t.Errorf("%v: request %d lost", k.now, id)
+			k.t.Errorf("%v: request %d got no final answer", k.now, id)
 			r.done = true
 		}
 		if r.done && open == 0 {
@@ -240,6 +246,7 @@
 	}
 }
 
+// sendRequest starts a request of a class.
 func (k *checker) sendRequest(id uint64, class int, budget time.Duration) {
 	k.requests[id] = &checkedRequest{class: k.c.Classes[class], deadline: k.now + budget}
 	k.event(Event{Kind: Request, ID: id, Class: class, Budget: budget})
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Example plays a transport that answers at once.
+// Example uses a Balancer with a transport that answers at once.
 func Example() {
 	b := New(Config{
 		Classes: []Class{{Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1}},
@@ -31,7 +31,7 @@
 	// served, 0 more actions
 }
 
-// BenchmarkRequest shows that the cost of a request stays flat with the size of the fleet.
+// BenchmarkRequest measures the cost of a request, which must not grow with the number of servers.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{20, 400} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkInstance gives the memory of an instance that knows 400 servers.
+// BenchmarkInstance measures the memory of a Balancer with 400 servers.
 func BenchmarkInstance(b *testing.B) {
 	b.ReportAllocs()
 	list := testServers(400)
--- a/decide/finalanswer_test.go
+++ b/decide/finalanswer_test.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// A request that no server may run again gets its final answer with the outcome that forbids it, not near its client's end.
+// A request that no server may run again must get its final answer as soon as the outcome rules out a retry, not
+// shortly before the client's deadline.
 func TestFinalAnswerIsImmediateWhenNoRetryIsAllowed(t *testing.T) {
 	for name, test := range map[string]struct {
 		class  Class
 		after  time.Duration // from the attempt to its outcome
 		status Status
 	}{
-		"unsafe, broken":               {Class{Effect: Unsafe}, ms, Reset},
-		"unsafe, broken when kept":     {Class{Effect: Unsafe}, ms, Stale},
-		"unsafe, an error":             {Class{Effect: Unsafe}, ms, Errored},
-		"unsafe, spoilt":               {Class{Effect: Unsafe}, ms, Spoilt},
-		"keyed, its window is over":    {Class{Effect: Keyed, Window: time.Second}, time.Second, Stale},
-		"keyed, a window hardly begun": {Class{Effect: Keyed, Window: 2 * ms}, 2 * ms, Reset},
-		"keyed in zones, as the last":  {Class{Effect: Keyed, Group: GroupZone, Window: time.Second}, time.Second, Errored},
+		"unsafe, reset":             {Class{Effect: Unsafe}, ms, Reset},
+		"unsafe, stale connection":  {Class{Effect: Unsafe}, ms, Stale},
+		"unsafe, error":             {Class{Effect: Unsafe}, ms, Errored},
+		"unsafe, unreadable answer": {Class{Effect: Unsafe}, ms, Spoilt},
+		"keyed, window over":        {Class{Effect: Keyed, Window: time.Second}, time.Second, Stale},
+		"keyed, short window":       {Class{Effect: Keyed, Window: 2 * ms}, 2 * ms, Reset},
+		"keyed by zone":             {Class{Effect: Keyed, Group: GroupZone, Window: time.Second}, time.Second, Errored},
 	} {
 		c := testConfig()
 		test.class.Aim, test.class.Deadline, test.class.Worth, test.class.LateWorth = 30*time.Second, 30*time.Second, 1, 0.5
@@ -32,14 +33,14 @@
 			}
 		}
 		if sent == 0 {
-			t.Fatalf("%s: nothing was sent", name)
+			t.Fatalf("%s: no attempt was sent", name)
 		}
 		answered := false
 		for _, a := range b.Handle(now+test.after, Event{Kind: Outcome, ID: 1, Server: ServerID(sent), Status: test.status}) {
 			answered = answered || a.Kind == Fail || a.Kind == Refuse
 		}
 		if !answered {
-			t.Errorf("%s: the request is held", name)
+			t.Errorf("%s: the request got no final answer", name)
 		}
 	}
 }
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A sidecar without a server in its zone felt no pressure there, and never shed.
+// A balancer without servers in its own zone once saw no pressure there and never shed load.
 func TestShedsWithEmptyOwnZone(t *testing.T) {
 	c := testConfig()
 	c.Zone = 7
@@ -14,11 +14,11 @@
 	k.event(Event{Kind: Members, Servers: testServers(12)})
 	sendRequests(k, 300, 0, 50*ms)
 	if k.sends > 250 {
-		t.Errorf("%d of 300 requests sent though all come late", k.sends)
+		t.Errorf("%d of 300 requests sent although all answers are late", k.sends)
 	}
 }
 
-// Sidecars went on refusing nearly all long after a jam was over, as few attempts were left to feel it.
+// Balancers once refused nearly all requests long after an overload was over, as few attempts were left to notice its end.
 func TestSheddingEndsAfterOverload(t *testing.T) {
 	k := newChecker(t, testConfig(), 7)
 	k.event(Event{Kind: Members, Servers: testServers(12)})
@@ -29,11 +29,11 @@
 	before := k.sends
 	sendRequests(k, 100, 0, 50*ms)
 	if n := k.sends - before; n < 80 {
-		t.Errorf("8 s after the jam only %d of 100 requests are sent", n)
+		t.Errorf("8 s after the overload only %d of 100 requests are sent", n)
 	}
 }
 
-// In overload the work of least worth goes first.
+// In overload the work of the least worth is shed first.
 func TestShedsLeastWorthFirst(t *testing.T) {
 	k := newChecker(t, testConfig(), 8)
 	k.event(Event{Kind: Members, Servers: testServers(12)})
@@ -55,7 +55,7 @@
 	}
 }
 
-// Refused clients were told to wait for an aim's length, and came back when nothing could be earned any more.
+// Refused clients were once told to wait as long as the aim, and retried when an answer had no worth any more.
 func TestWaitAdvice(t *testing.T) {
 	b := New(testConfig(), 12)
 	waits := func(acts []Action) (refusals []time.Duration) {
@@ -70,18 +70,18 @@
 	b.tiers[1].load, b.tiers[1].loadUpdatedAt = 1, time.Hour
 	b.tiers[0].load, b.tiers[0].loadUpdatedAt = 1, time.Hour
 	if got := waits(b.Handle(time.Hour, Event{Kind: Request, ID: 1, Budget: time.Second})); len(got) != 1 || got[0] != 0 {
-		t.Errorf("refused at once with the waits %v, want one of 0", got)
+		t.Errorf("refused at once: waits %v, want one of 0", got)
 	}
 	b = New(testConfig(), 12)
 	b.Handle(time.Hour, Event{Kind: Members, Servers: []Server{{ID: 1, State: Ready}}})
 	b.Handle(time.Hour, Event{Kind: Request, ID: 1, Budget: time.Second})
 	got := waits(b.Handle(time.Hour+time.Second, Event{Kind: Outcome, ID: 1, Server: 1, Status: TimedOut, Latency: time.Second}))
 	if len(got) != 1 || got[0] != 2*time.Second {
-		t.Errorf("refused after the aim with the waits %v, want one of 2 s", got)
+		t.Errorf("refused after the aim: waits %v, want one of 2 s", got)
 	}
 }
 
-// In overload a tenant beyond its share gives way before one within it.
+// In overload requests of a tenant beyond its share are shed before those of a tenant within it.
 func TestShedsOverShareFirst(t *testing.T) {
 	c := testConfig()
 	c.Classes, c.OverShareWorth = c.Classes[:1], 0.1
@@ -89,7 +89,7 @@
 	k := newChecker(t, c, 13)
 	k.outcome = func(Server) (time.Duration, Status) { return 270 * ms, OK }
 	k.event(Event{Kind: Members, Servers: testServers(12)})
-	var asked, sent [2]int
+	var received, sent [2]int
 	for i := range 4000 {
 		for end := k.now + 20*ms; k.now < end; {
 			k.step()
@@ -101,23 +101,23 @@
 		before, id := k.sends, uint64(i+1)
 		k.requests[id] = &checkedRequest{class: c.Classes[0], deadline: k.now + time.Second}
 		k.event(Event{Kind: Request, ID: id, Tenant: tenant, Budget: time.Second})
-		asked[tenant]++
+		received[tenant]++
 		sent[tenant] += k.sends - before
 	}
-	over, within := float64(sent[0])/float64(asked[0]), float64(sent[1])/float64(asked[1])
-	if over > within-0.15 || within < 0.5 {
-		t.Errorf("sent %.2f of the tenant beyond its share and %.2f of the other", over, within)
+	overShare, withinShare := float64(sent[0])/float64(received[0]), float64(sent[1])/float64(received[1])
+	if overShare > withinShare-0.15 || withinShare < 0.5 {
+		t.Errorf("sent %.2f of the requests beyond the share and %.2f of those within it", overShare, withinShare)
 	}
 }
 
-// What a warming server may be sent follows the calls that come, not those that are let through: shedding for lack of
-// capacity must not keep the capacity that is growing from being used.
+// The credit of a warming server follows the arriving requests, not those that are not shed: otherwise shedding for lack of
+// capacity would keep the growing capacity from being used.
 func TestCreditWhileShedding(t *testing.T) {
 	c := testConfig()
 	b := New(c, 1)
 	list := testServers(8)
 	now := time.Hour
-	for i := 2; i < len(list); i += 2 { // most of the own zone is cold
+	for i := 2; i < len(list); i += 2 { // most of the own zone is warming
 		list[i].Started = now - 2*time.Second
 	}
 	b.Handle(now, Event{Kind: Members, List: ListFull, Servers: list})
@@ -135,17 +135,17 @@
 		}
 	}
 	if refused < 15 || s.credit < 1 {
-		t.Errorf("%d of 20 calls refused, credit %.2f; most refused and at least one send earned is expected", refused, s.credit)
+		t.Errorf("%d of 20 requests refused, credit %.2f; want most refused and a credit of at least 1", refused, s.credit)
 	}
 }
 
-// A sidecar that restarts sees a zone of one worker and knows no other size of it: its credit must not follow from
-// that alone, or every call of the zone may go to a worker that has just come back.
+// A restarted balancer that sees only one server in its zone does not know the zone's usual size. The credit must not be
+// based on that server alone, or every request of the zone may go to a server that has just restarted.
 func TestCreditInASmallZone(t *testing.T) {
-	for n, most := range map[int]float64{1: 0.5, 4: 1} { // own servers among eight in two zones; credit of one call, shares
+	for ownServers, shares := range map[int]float64{1: 0.5, 4: 1} { // own servers of eight in two zones: credit for one request, in shares
 		list := testServers(8)
 		for i := range list {
-			if list[i].Zone = 1; i < n {
+			if list[i].Zone = 1; i < ownServers {
 				list[i].Zone = 0
 			}
 		}
@@ -156,18 +156,18 @@
 		s := b.servers[list[0].ID]
 		s.credit = 0
 		b.earnCredit()
-		if got, limit := s.credit, most*maxSlowStartShare*b.minCapacityShare(s)/float64(max(n, 1)); got <= 0 || got > limit*1.01 {
-			t.Errorf("zone of %d: a call earns %.3f, up to %.3f is expected", n, got, limit)
+		if got, limit := s.credit, shares*maxSlowStartShare*b.minCapacityShare(s)/float64(max(ownServers, 1)); got <= 0 || got > limit*1.01 {
+			t.Errorf("zone of %d: a request earns %.3f, want at most %.3f", ownServers, got, limit)
 		}
 	}
 }
 
-// A whole credit that is not spent within a part of the span in which a server falls is lost where there are many sidecars, or
-// nobody knows how many; one that is whole for less is not, nor any of a few sidecars.
+// A whole credit that stays unspent for a part of the overload window expires if there are many balancers or their number
+// is unknown. Younger credits do not expire, nor do those of a few balancers.
 func TestUnusedCreditExpires(t *testing.T) {
-	for sidecars, lost := range map[int]bool{0: true, 3: false, 300: true} {
+	for balancers, expires := range map[int]bool{0: true, 3: false, 300: true} {
 		c := testConfig()
-		c.Balancers = sidecars
+		c.Balancers = balancers
 		list := testServers(8)
 		now := time.Hour
 		list[0].Started = now
@@ -175,7 +175,7 @@
 		b.Handle(now, Event{Kind: Members, List: ListCached, Servers: list})
 		b.tenantRequests[0], b.classes[0].workByTenant[0] = 10, 10*0.05 // requests of 50 ms
 		s := b.servers[list[0].ID]
-		kept := time.Duration(creditRetention * float64(b.config.Safety.TipAfter))
+		retention := time.Duration(creditRetention * float64(b.config.Safety.TipAfter))
 		s.credit = 0.999
 		earnAt := func(at time.Duration) float64 {
 			b.now = now + at
@@ -183,17 +183,17 @@
 			return s.credit
 		}
 		if got := earnAt(0); got != 1 {
-			t.Fatalf("%d sidecars: credit %.3f, a whole one is expected", sidecars, got)
+			t.Fatalf("%d balancers: credit %.3f, want 1", balancers, got)
 		}
-		if got := earnAt(kept); got != 1 {
-			t.Errorf("%d sidecars: credit %.3f after %v, a whole one is expected", sidecars, got, kept)
+		if got := earnAt(retention); got != 1 {
+			t.Errorf("%d balancers: credit %.3f after %v, want 1", balancers, got, retention)
 		}
-		if got := earnAt(kept + 1); got < 1 != lost {
-			t.Errorf("%d sidecars: credit %.3f after more than %v; lost %v is expected", sidecars, got, kept, lost)
+		if got := earnAt(retention + 1); got < 1 != expires {
+			t.Errorf("%d balancers: credit %.3f after more than %v, want expired %v", balancers, got, retention, expires)
 		}
 		s.credit = 1
-		if got := earnAt(kept + 2); got != 1 {
-			t.Errorf("%d sidecars: credit %.3f, the next whole one is expected to be kept from its own time on", sidecars, got)
+		if got := earnAt(retention + 2); got != 1 {
+			t.Errorf("%d balancers: credit %.3f, want the next whole credit to be kept from its own start", balancers, got)
 		}
 	}
 }
--- a/decide/members_test.go
+++ b/decide/members_test.go
@@ -16,7 +16,7 @@
 			if a.Kind == Wake {
 				if got := b.Handle(now+a.Wait, Event{Kind: Timer, Token: a.Token}); len(got) != 1 ||
 					got[0].Kind != Watch || !got[0].On {
-					t.Fatalf("after the wait: %+v", got)
+					t.Fatalf("after the wait: %+v, want a Watch", got)
 				}
 				now += a.Wait
 				return a.Wait
@@ -28,24 +28,24 @@
 	if d := wait(b.Handle(now, Event{Kind: Members, List: ListCached, Servers: testServers(4)})); d > c.Safety.DrainGrace {
 		t.Errorf("first call after %v", d)
 	}
-	told := float64(c.Safety.ToldWithin())
+	limit := float64(c.Safety.ToldWithin())
 	for i := range 6 {
 		share := nextWatchBackoff
 		if i == 0 {
 			share = firstWatchBackoff
 		}
-		if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > share*told || float64(d) < 0.1*share*told {
-			t.Errorf("call %d after %v", i, d)
+		if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > share*limit || float64(d) < 0.1*share*limit {
+			t.Errorf("call %d: unexpected wait of %v", i, d)
 		}
 	}
 	b.Handle(now, Event{Kind: Members, List: ListDelta})
-	if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > firstWatchBackoff*told {
-		t.Errorf("no new start of the waits: %v", d)
+	if d := wait(b.Handle(now, Event{Kind: Members, List: ListFailed})); float64(d) > firstWatchBackoff*limit {
+		t.Errorf("the backoff was not reset: %v", d)
 	}
 }
 
-// A discovery that moved is asked at once, however long the old one has failed, and its own first failure is
-// answered with the first, short wait.
+// A new discovery source is called at once, however long the old one has failed, and its own first failure is followed by
+// the first, short backoff.
 func TestMovedDiscovery(t *testing.T) {
 	b := New(testConfig(), 1)
 	wait := func(e Event) time.Duration {
@@ -61,15 +61,15 @@
 		wait(failed)
 	}
 	if w := wait(Event{Kind: Members, List: ListMoved}); w != 0 {
-		t.Errorf("asked after %v, not at once", w)
+		t.Errorf("called after %v, want at once", w)
 	}
 	if w := wait(failed); w <= 0 || float64(w) > firstWatchBackoff*float64(testConfig().Safety.ToldWithin()) {
 		t.Errorf("waits %v after the first failure", w)
 	}
 }
 
-// A watch that fell silent says nothing of the registry: it is opened anew at once, also where calls before it were refused.
-// What fails after that is answered with a wait.
+// A watch without an answer is no evidence against discovery: it is reopened at once, also after earlier failed calls. A
+// failure after that is followed by a backoff.
 func TestSilentWatchIsReopenedAtOnce(t *testing.T) {
 	for name, before := range map[string]int{"after an answer": 0, "after a refusal": 1, "after an outage": 7} {
 		c := testConfig()
@@ -82,17 +82,17 @@
 			fail(ConnectFailed)
 		}
 		if a := fail(TimedOut); a.Kind != Watch || !a.On {
-			t.Errorf("%s: a silent watch is answered with %+v", name, a)
+			t.Errorf("%s: silent watch: got %+v, want a Watch", name, a)
 		}
 		if a := fail(ConnectFailed); a.Kind != Wake || float64(a.Wait) < 0.1*firstWatchBackoff*float64(c.Safety.ToldWithin()) {
-			t.Errorf("%s: a failure after that is answered with %+v", name, a)
+			t.Errorf("%s: next failure: got %+v, want a backoff", name, a)
 		}
 	}
 }
 
-// Discovery that is asked by all sidecars at once fails most of them, and what failed together must not come back together:
-// in no tenth of the wait may more than a quarter of eighty ask. The first calls of a fleet that starts together come
-// within the time that a drain leaves, whatever its size: what a list from before the start lacks may count as told already.
+// Discovery that is called by all balancers at once fails for most of them, and they must not retry together: no tenth of
+// the wait may hold more than a quarter of eighty calls. The first calls of balancers that start together come within the
+// drain grace, whatever their number, as changes since the cached list may be due already.
 func TestWatchCallsSpread(t *testing.T) {
 	c := testConfig()
 	c.Subscribe = true
@@ -101,7 +101,7 @@
 		first     ListKind
 		balancers int
 		last      time.Duration
-		even      bool // few within a tenth of it
+		even      bool // whether to check the spread
 	}{
 		{"start", ListCached, 80, c.Safety.DrainGrace, false},
 		{"start of a large fleet", ListCached, 300, c.Safety.DrainGrace, false},
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// troubles plays random legal events for a while, and then what is still to come of them: requests of all classes, backends
-// that fail, lists that change, clients that leave.
+// playRandomEvents plays random valid events: requests of all classes, failing servers, list changes and clients that give
+// up. Afterwards it runs until all requests have ended.
 func (k *checker) playRandomEvents(list []Server, length time.Duration) {
 	bad := map[ServerID]int{}
 	k.outcome = func(s Server) (time.Duration, Status) {
@@ -41,22 +41,22 @@
 		}
 		k.playRandomChange(list, id)
 	}
-	for range 400 + int(4*time.Second/k.c.Tick) { // longer than any drawn deadline
+	for range 400 + int(4*time.Second/k.c.Tick) { // longer than any random deadline
 		k.step()
 	}
 }
 
-// change plays one event that is no request's, or none; id is the last request's.
+// playRandomChange plays at most one event other than a request; id is the last request.
 func (k *checker) playRandomChange(list []Server, id uint64) {
 	switch x := k.rng.Float64(); {
-	case x < 0.01: // a change: drain, go, restart
+	case x < 0.01: // one server drains, leaves or restarts
 		s := &list[k.rng.IntN(len(list))]
 		s.State = State(k.rng.IntN(3))
 		if s.State == Ready && k.rng.IntN(2) == 0 {
 			s.Started = k.now
 		}
 		k.event(Event{Kind: Members, List: ListDelta, Servers: []Server{*s}})
-	case x < 0.012: // a whole list, rarely an empty one
+	case x < 0.012: // a full list, sometimes empty
 		var ready []Server
 		for _, s := range list {
 			if s.State != Gone && k.rng.IntN(12) > 0 {
@@ -69,7 +69,7 @@
 		k.event(Event{Kind: Members, List: ListFull, Servers: ready})
 	case x < 0.013:
 		k.event(Event{Kind: Members, List: ListFailed})
-	case x < 0.014 && id > 0: // a client leaves
+	case x < 0.014 && id > 0: // a client gives up
 		if r := k.requests[id]; r != nil && !r.done {
 			r.done = true
 			k.event(Event{Kind: Left, ID: id})
@@ -77,12 +77,12 @@
 	}
 }
 
-// between draws a time from a range.
+// randomDuration returns a random duration from a range.
 func randomDuration(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Int64N(int64(most-least)+1))
 }
 
-// drawConfig draws a deployment. Every effect and every group comes, on classes in any order.
+// randomConfig returns a random deployment with every effect and group, on classes in random order.
 func randomConfig(rng *rand.Rand) Config {
 	c := testConfig()
 	for i := range c.Classes {
@@ -108,13 +108,13 @@
 	return c
 }
 
-// TestRulesHoldUnderDrawnSettings is TestRulesHold for deployments drawn from seeds.
+// TestRulesHoldUnderRandomConfig is TestRulesHold with random deployments.
 func TestRulesHoldUnderRandomConfig(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		k := newChecker(t, randomConfig(rand.New(rand.NewPCG(seed, 2))), seed)
 		k.playRandomEvents(testServers(18), 6*time.Second)
 		if len(k.requests) > 0 || len(k.b.requests) > 0 {
-			t.Errorf("seed %d: %d requests open, %d kept by the module", seed, len(k.requests), len(k.b.requests))
+			t.Errorf("seed %d: %d requests open, %d kept by the Balancer", seed, len(k.requests), len(k.b.requests))
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d: %+v", seed, k.c)
@@ -122,12 +122,12 @@
 	}
 }
 
-// order is where each number of a list of n stands in another order of it.
+// permutation maps each index of a list to its index in another order.
 type permutation []int
 
 func randomPermutation(rng *rand.Rand, n int) permutation { return rng.Perm(n) }
 
-// numbers are the orders of classes, zones, cells and kinds in which another deployment says the same.
+// renumbering changes the order of classes, zones, cells and kinds of a deployment without changing its meaning.
 type renumbering struct{ classes, zones, cells, kinds permutation }
 
 func (n renumbering) config(c Config) Config {
@@ -149,9 +149,9 @@
 	return e
 }
 
-// TestOrderOfSettingsDecidesNothing plays two modules with one seed the same day, where the settings of the second list the
-// classes, zones, cells and kinds in another order: what they do is the same to the last action. The module knows names by
-// their places alone, so other names change nothing either.
+// Two Balancers with the same seed and the same events, where the second one's configuration lists the classes, zones,
+// cells and kinds in another order, must return the same actions. The Balancer knows names only by their index, so this
+// covers other names too.
 func TestDecisionsIgnoreConfigOrder(t *testing.T) {
 	const zones, cells, kinds = 3, 20, 4
 	for seed := uint64(1); seed <= 25; seed++ {
@@ -166,12 +166,12 @@
 		other := New(n.config(c), seed)
 		k.observe = func(e Event, actions []Action) {
 			if got := other.Handle(k.now, n.event(e)); len(got)+len(actions) > 0 && !reflect.DeepEqual(actions, got) {
-				t.Fatalf("seed %d, %v, %+v: in the order %+v of the settings\n%+v\nelse\n%+v", seed, k.now, e, n, got, actions)
+				t.Fatalf("seed %d, %v, %+v: with renumbering %+v\n%+v\nwithout\n%+v", seed, k.now, e, n, got, actions)
 			}
 		}
 		k.playRandomEvents(list, 6*time.Second)
 		if k.sends < 30 {
-			t.Errorf("seed %d: only %d sends", seed, k.sends)
+			t.Errorf("seed %d: only %d attempts", seed, k.sends)
 		}
 	}
 }
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Requests were once tried at up to nine full servers. A rejection is retried once, within the retry budget.
 func TestFullIsRetriedOnce(t *testing.T) {
 	c := testConfig()
 	c.Limits.MaxAttempts = 9
@@ -13,10 +14,11 @@
 	k.event(Event{Kind: Members, Servers: testServers(12)})
 	sendRequests(k, 200, 0, 50*ms)
 	if k.sends > 200*12/10 {
-		t.Errorf("%d sends for 200 requests", k.sends)
+		t.Errorf("%d attempts for 200 requests", k.sends)
 	}
 }
 
+// Every request gets a final answer, also in unusual deployments.
 func TestEveryRequestIsAnswered(t *testing.T) {
 	one := []Server{{ID: 1, State: Ready}}
 	tests := []struct {
@@ -33,7 +35,7 @@
 		{"no prices", func(c *Config) { c.Prices = Prices{} }, one, true},
 		{"no idle close", func(c *Config) { c.IdleClose = 0 }, one, true},
 		{"no aim", func(c *Config) { c.Classes[0].Aim = 0 }, one, true},
-		{"weightless", func(c *Config) { c.Weights = WeightsLive }, one, true},
+		{"no weight", func(c *Config) { c.Weights = WeightsLive }, one, true},
 		{"thousands of servers", func(c *Config) {}, testServers(5000), true},
 	}
 	for _, tt := range tests {
@@ -46,12 +48,12 @@
 			k.step()
 		}
 		if k.answers != 20 || (k.sends > 0) != tt.served {
-			t.Errorf("%s: %d of 20 answered, %d sends", tt.name, k.answers, k.sends)
+			t.Errorf("%s: %d of 20 answered, %d attempts", tt.name, k.answers, k.sends)
 		}
 	}
 }
 
-// A process that has gone or restarted leaves outcomes behind; they say nothing of the one that follows it.
+// Outcomes of a process that has left or restarted must not count against the process that follows it.
 func TestOutcomesOfFormerProcessAreIgnored(t *testing.T) {
 	b, list, now := New(testConfig(), 1), testServers(1), time.Hour
 	b.Handle(now, Event{Kind: Members, Servers: list})
@@ -63,11 +65,11 @@
 		b.Handle(now, Event{Kind: Outcome, ID: id + 1, Server: 100, Status: Reset, Latency: ms, Done: true})
 	}
 	if s := b.servers[100]; s.pool != &s.tier.active || s.failures > 0 || s.outstanding > 0 {
-		t.Errorf("in use %v, strikes %d, out %d", s.pool == &s.tier.active, s.failures, s.outstanding)
+		t.Errorf("active %v, failures %d, outstanding %d", s.pool == &s.tier.active, s.failures, s.outstanding)
 	}
 }
 
-// A spoilt answer is no sign of load: what may be repeated is sent elsewhere without regard to the budget.
+// An unreadable answer is no sign of load: a request that may run again is retried regardless of the retry budget.
 func TestUnreadableAnswerIsRetriedWithoutBudget(t *testing.T) {
 	for class, want := range map[int]bool{0: true, 1: false} {
 		c := testConfig()
@@ -79,13 +81,13 @@
 		b.retryTokens = 0
 		acts := b.Handle(time.Hour, Event{Kind: Outcome, ID: 1, Server: to, Status: Spoilt, Latency: ms})
 		if len(acts) == 0 || (acts[0].Kind == Send) != want {
-			t.Errorf("class %d: %+v", class, acts)
+			t.Errorf("class %d: got %+v", class, acts)
 		}
 	}
 }
 
-// A keyed call's repeat goes to the group in which its first attempt may have run, also where the list has since moved
-// that server to another cell.
+// A keyed request is retried in the group in which its first attempt may have run, even if the list has since moved that
+// server to another cell.
 func TestKeyedRepeatStaysWithItsFirstCell(t *testing.T) {
 	b := New(testConfig(), 1)
 	list := []Server{{ID: 1, Cell: 1, State: Ready}, {ID: 2, Cell: 1, State: Ready}, {ID: 3, Cell: 2, State: Ready}}
@@ -94,16 +96,16 @@
 		attempts: []attempt{{target: b.servers[1], listed: b.servers[1].Server, sentAt: b.now, mayHaveRun: true}}}
 	b.Handle(b.now, Event{Kind: Members, List: ListDelta, Servers: []Server{{ID: 1, Cell: 2, State: Ready}}})
 	if !b.maySend(r, b.servers[2]) || b.maySend(r, b.servers[3]) {
-		t.Errorf("to the first cell's other server %v, to the new cell's %v", b.maySend(r, b.servers[2]), b.maySend(r, b.servers[3]))
+		t.Errorf("may send to the first cell's other server: %v, to the new cell's server: %v", b.maySend(r, b.servers[2]), b.maySend(r, b.servers[3]))
 	}
 }
 
-// A second copy is work done twice: it goes out where something speaks against the first one's server, not wherever
-// a call takes long.
+// A second copy duplicates work: it is sent only if there is other evidence against the first server, not whenever a request
+// takes long.
 func TestSecondCopyNeedsEvidence(t *testing.T) {
 	for name, test := range map[string]struct {
 		failures, want int
-	}{"none": {0, 0}, "a failure before": {1, 1}} {
+	}{"none": {0, 0}, "earlier failure": {1, 1}} {
 		c := testConfig()
 		c.Limits.SecondCopies, c.Limits.Cancel = true, true
 		b := New(c, 3)
@@ -119,16 +121,16 @@
 			}
 		}
 		b.servers[first].failures = test.failures
-		copies := 0
+		secondCopies := 0
 		for _, w := range wakes {
 			for _, a := range b.Handle(b.now+w.Wait, Event{Kind: Timer, Token: w.Token}) {
 				if a.Kind == Send {
-					copies++
+					secondCopies++
 				}
 			}
 		}
-		if copies != test.want {
-			t.Errorf("%s: %d second copies, want %d", name, copies, test.want)
+		if secondCopies != test.want {
+			t.Errorf("%s: %d second copies, want %d", name, secondCopies, test.want)
 		}
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestRulesHold drives the module with random legal events and judges every action by the rules' wording.
+// TestRulesHold plays random valid events and checks every action against the safety rules.
 func TestRulesHold(t *testing.T) {
 	for seed := uint64(1); seed <= 24; seed++ {
 		c := testConfig()
@@ -18,14 +18,15 @@
 		k := newChecker(t, c, seed)
 		k.playRandomEvents(testServers(18), 20*time.Second)
 		if len(k.requests) > 0 || len(k.b.requests) > 0 {
-			t.Errorf("seed %d: %d requests open, %d kept by the module", seed, len(k.requests), len(k.b.requests))
+			t.Errorf("seed %d: %d requests open, %d kept by the Balancer", seed, len(k.requests), len(k.b.requests))
 		}
 		if k.sends < 150 {
-			t.Errorf("seed %d: only %d sends", seed, k.sends)
+			t.Errorf("seed %d: only %d attempts", seed, k.sends)
 		}
 	}
 }
 
+// The same seed and events must lead to the same attempts.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() (n int, sum uint64) {
 		k := newChecker(t, testConfig(), 5)
@@ -43,13 +44,13 @@
 	n1, s1 := run()
 	n2, s2 := run()
 	if n1 != n2 || s1 != s2 {
-		t.Errorf("sends %d and %d, sums %d and %d", n1, n2, s1, s2)
+		t.Errorf("attempts %d and %d, checksums %d and %d", n1, n2, s1, s2)
 	}
 }
 
-// TestLawful states, class by class, what may follow an attempt with a given end.
+// TestRetryAndRefusalRules lists for each class what may follow an attempt with a given result.
 func TestRetryAndRefusalRules(t *testing.T) {
-	const same, zone, other = 0, 1, 2 // servers: the first's cell, the zone, the other zone
+	const same, zone, other = 0, 1, 2 // servers in the first one's cell, in its zone, in the other zone
 	tests := []struct {
 		name    string
 		class   int
@@ -65,10 +66,10 @@
 		{"keyed zone, window over", 2, TimedOut, 800 * ms, [3]bool{}, false},
 		{"keyed cell, reset", 3, Reset, 100 * ms, [3]bool{true, false, false}, false},
 		{"keyed cell, error", 3, Errored, 100 * ms, [3]bool{true, false, false}, false},
-		{"keyed cell, turned away", 3, Full, 100 * ms, [3]bool{true, true, true}, true},
+		{"keyed cell, full", 3, Full, 100 * ms, [3]bool{true, true, true}, true},
 		{"unsafe, cancelled", 4, Cancelled, 100 * ms, [3]bool{}, false},
 		{"unsafe, no connection", 4, ConnectFailed, 100 * ms, [3]bool{true, true, true}, true},
-		{"unsafe, moot", 4, Moot, 100 * ms, [3]bool{true, true, true}, true},
+		{"unsafe, never sent", 4, Moot, 100 * ms, [3]bool{true, true, true}, true},
 	}
 	for _, tt := range tests {
 		b := New(testConfig(), 1)
@@ -81,16 +82,16 @@
 		b.now += tt.wait
 		for i, id := range [...]ServerID{same: 2, zone: 3, other: 4} {
 			if got := b.maySend(r, b.servers[id]); got != tt.resend[i] {
-				t.Errorf("%s: send to server %d: %v", tt.name, id, got)
+				t.Errorf("%s: may send to server %d: %v", tt.name, id, got)
 			}
 		}
 		if got := b.mayRefuse(r); got != tt.refusal {
-			t.Errorf("%s: refusal %v", tt.name, got)
+			t.Errorf("%s: may refuse: %v", tt.name, got)
 		}
 	}
 }
 
-// TestGate: what stops a send whatever the policy asks for.
+// TestMaySend checks the conditions that prevent an attempt whatever the policy chose.
 func TestMaySend(t *testing.T) {
 	c := testConfig()
 	c.Limits.SecondCopies, c.Limits.MaxAttempts = false, 2
@@ -102,18 +103,18 @@
 	b.servers[4].credit = 0.9
 	fresh := func() *request { return &request{class: &b.classes[0], deadline: b.now + time.Second} }
 	if !b.maySend(fresh(), b.servers[1]) {
-		t.Error("a plain send is stopped")
+		t.Error("an ordinary attempt is prevented")
 	}
-	for id, s := range map[string]*server{"draining": b.servers[2], "gone": gone, "cold without credit": b.servers[4]} {
+	for id, s := range map[string]*server{"draining": b.servers[2], "gone": gone, "warming without credit": b.servers[4]} {
 		if b.maySend(fresh(), s) {
 			t.Errorf("sent to a server that is %s", id)
 		}
 	}
 	for name, change := range map[string]func(r *request){
-		"over":         func(r *request) { r.done = true },
-		"past its end": func(r *request) { r.deadline = b.now },
-		"running":      func(r *request) { r.outstanding, r.attempts = 1, []attempt{{target: b.servers[1], open: true}} },
-		"out of tries": func(r *request) { r.attempts = make([]attempt, 2) },
+		"done":            func(r *request) { r.done = true },
+		"expired":         func(r *request) { r.deadline = b.now },
+		"running":         func(r *request) { r.outstanding, r.attempts = 1, []attempt{{target: b.servers[1], open: true}} },
+		"out of attempts": func(r *request) { r.attempts = make([]attempt, 2) },
 	} {
 		r := fresh()
 		change(r)
@@ -123,21 +124,21 @@
 	}
 }
 
-// TestColdZone: part of a lost zone comes back cold. All sidecars together must stay under the multiple of what
-// each server can do, in every window of the stated length, retries and trials counted.
+// Part of a failed zone comes back and needs to warm up. All balancers together must stay under the multiple of each
+// server's present capacity in every overload window, including retries and trials.
 func TestSlowStartOfReturningZone(t *testing.T) {
-	const sidecars, perSecond = 60, 4.0
+	const balancers, requestRate = 60, 4.0
 	c := testConfig()
 	c.Classes = c.Classes[:1]
 	list := testServers(12)
-	var ks []*checker
-	for i := range sidecars {
+	var checkers []*checker
+	for i := range balancers {
 		k := newChecker(t, c, uint64(i+1))
 		k.outcome = func(s Server) (time.Duration, Status) { return time.Duration(k.rng.IntN(150)) * ms, OK }
 		k.event(Event{Kind: Members, Servers: list})
-		ks = append(ks, k)
+		checkers = append(checkers, k)
 	}
-	var back []Server // two of the six come first, the others stay gone
+	var returning []Server // two of the six servers of the zone return
 	restarted := time.Hour + 10*time.Second
 	for _, s := range list {
 		if s.Zone == 0 && s.ID < 104 {
@@ -145,18 +146,18 @@
 		} else if s.Zone == 0 {
 			continue
 		}
-		back = append(back, s)
+		returning = append(returning, s)
 	}
-	capacity := sidecars * perSecond / 6 / 0.7 // of a server, were its zone loaded to 70%
+	capacity := balancers * requestRate / 6 / 0.7 // of a server if its zone has a load of 70%
 	recent := map[ServerID][]time.Duration{}
 	id := uint64(0)
 	for now := time.Hour; now < restarted+c.Safety.WarmAfter; now += c.Tick {
-		for i, k := range ks {
-			if now == restarted+time.Duration(i*20)*ms { // informed one after another
-				k.event(Event{Kind: Members, Servers: back})
+		for i, k := range checkers {
+			if now == restarted+time.Duration(i*20)*ms { // balancers learn of it one after another
+				k.event(Event{Kind: Members, Servers: returning})
 			}
 			k.step()
-			if k.rng.Float64() < perSecond*c.Tick.Seconds() {
+			if k.rng.Float64() < requestRate*c.Tick.Seconds() {
 				id++
 				k.sendRequest(id, 0, time.Second)
 				for _, try := range k.requests[id].attempts {
@@ -166,18 +167,18 @@
 				}
 			}
 		}
-		for sid, at := range recent {
-			for len(at) > 0 && at[0] <= now-c.Safety.TipAfter {
-				at = at[1:]
+		for serverID, times := range recent {
+			for len(times) > 0 && times[0] <= now-c.Safety.TipAfter {
+				times = times[1:]
 			}
-			recent[sid] = at
+			recent[serverID] = times
 			share := c.Safety.StartShare + (1-c.Safety.StartShare)*float64(now-restarted)/float64(c.Safety.WarmAfter)
-			if most := c.Safety.FallMultiple * share * capacity; float64(len(at)) > most {
-				t.Fatalf("%v after the start: %d sends in a window to %d, %.1f at most", now-restarted, len(at), sid, most)
+			if limit := c.Safety.FallMultiple * share * capacity; float64(len(times)) > limit {
+				t.Fatalf("%v after the restart: %d attempts in a window at server %d, limit %.1f", now-restarted, len(times), serverID, limit)
 			}
 		}
 	}
 	if len(recent) != 2 {
-		t.Errorf("%d of 2 warming servers got work", len(recent))
+		t.Errorf("%d of 2 warming servers got requests", len(recent))
 	}
 }
