--- a/internal/routing/age.go
+++ b/internal/routing/age.go
@@ -11,31 +11,31 @@
 // backend that is held to be younger than it is gets less for a while, one that is held to be older falls over.
 
 // newsAge is how old a start is held to be at most that discovery tells of while this process listens.
-const newsAge = 2 * time.Second
+const maxNewStartAge = 2 * time.Second
 
 // start is when a backend's process started, as discovery tells it and on the module's clock.
-type start struct {
-	toldMs int64
-	at     time.Duration
+type processStart struct {
+	reportedMs int64
+	at         time.Duration
 }
 
 // started is an instance's start on the module's clock; 0 means long ago. news tells that a list from before, which discovery
 // itself had given, did not have this start. A start keeps its time however often it is listed, and also where its instance
 // was left out in between. It is called under the lock.
-func (r *Router) started(i *protocol.Instance, news bool) time.Duration {
-	if i.StartedMs == 0 {
+func (r *Router) startTime(instance *protocol.Instance, hadList bool) time.Duration {
+	if instance.StartedMs == 0 {
 		return 0
 	}
-	if known, ok := r.starts[i.ID]; ok && known.toldMs == i.StartedMs {
+	if known, ok := r.startTimes[instance.ID]; ok && known.reportedMs == instance.StartedMs {
 		return known.at
 	}
 	now := r.now()
-	at := min(time.Duration(i.StartedMs)*time.Millisecond, now) // a start to come is one of now
-	if news {
-		at = max(at, now-newsAge)
+	at := min(time.Duration(instance.StartedMs)*time.Millisecond, now) // a start to come is one of now
+	if hadList {
+		at = max(at, now-maxNewStartAge)
 	}
-	if _, ok := r.starts[i.ID]; ok || len(r.starts) < maxSeen {
-		r.starts[i.ID] = start{i.StartedMs, at}
+	if _, ok := r.startTimes[instance.ID]; ok || len(r.startTimes) < maxSeenWorkers {
+		r.startTimes[instance.ID] = processStart{instance.StartedMs, at}
 	}
 	return at
 }
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -12,25 +12,25 @@
 )
 
 // task is one open call. Its fields belong to the call's goroutine, but for the mailbox.
-type task struct {
-	id     uint64
-	call   *protocol.Call
-	end    time.Time // when the client gives up
-	orders chan order
-	tries  int         // attempts so far
-	gone   atomic.Bool // the client has left: nothing new may go out
+type activeCall struct {
+	id         uint64
+	call       *protocol.Call
+	deadline   time.Time // when the client gives up
+	commands   chan command
+	attempts   int         // attempts so far
+	clientLeft atomic.Bool // the client has left: nothing new may go out
 
-	terms Terms         // what the gate said, once
-	less  time.Duration // that the terms take of the client's time
-	ran   bool          // an attempt has ended that may have run
-	first firstRun      // the earliest of those
+	policy          Terms         // what the gate said, once
+	budgetReduction time.Duration // that the terms take of the client's time
+	mayHaveRun      bool          // an attempt has ended that may have run
+	firstRun        firstRun      // the earliest of those
 }
 
 // ordersPerTry bounds the orders for one attempt: its send, a cancel, and a second one when the call ends.
-const ordersPerTry = 3
+const commandsPerAttempt = 3
 
 // order is an action of the module for one request.
-type order struct {
+type command struct {
 	decide.Action
 	peer       transport.Peer // with Send: the backend's process as it was listed at the choice; zero where it is not listed
 	zone, cell int            // where that is
@@ -38,9 +38,9 @@
 
 // order puts an action into the mailbox. It is called under the router's lock and never waits. The mailbox
 // holds all that a module may rightly order; past that an order is dropped, and the call ends as overdue.
-func (t *task) order(o order) {
+func (c *activeCall) enqueue(cmd command) {
 	select {
-	case t.orders <- o:
+	case c.commands <- cmd:
 	default:
 	}
 }
@@ -48,30 +48,30 @@
 // attempt is one send of a request to a backend.
 type attempt struct {
 	protocol.Delegation
-	try      int
-	worker   decide.ServerID
-	begun    time.Time
-	end      time.Time // of the attempt's or the call's time
-	router   *Router
-	task     *task
-	order    order
-	deadline time.Time // the end as it was at the beginning, for the goroutine that writes
-	expired  bool      // given up for that
-	fresh    bool      // went over a connection opened for it
-	whole    bool      // its answer has been read whole
+	number          int
+	worker          decide.ServerID
+	startedAt       time.Time
+	deadline        time.Time // of the attempt's or the call's time
+	router          *Router
+	activeCall      *activeCall
+	command         command
+	initialDeadline time.Time // the end as it was at the beginning, for the goroutine that writes
+	timedOut        bool      // given up for that
+	newConnection   bool      // went over a connection opened for it
+	complete        bool      // its answer has been read whole
 }
 
 // maxTries bounds a mailbox where a deployment allows attempts without end, and the copies that are out together.
-const maxTries = 32
+const maxAttempts = 32
 
 // overtime is how long after a call's end the router waits for the module's own answer. The module gives
 // one at the end; that it should not is a fault, and the client is answered all the same.
-const overtime = 20 * time.Millisecond
+const answerGrace = 20 * time.Millisecond
 
 // copies is how many attempts of a call may be out together.
-func (r *Router) copies() int {
+func (r *Router) maxInFlight() int {
 	if r.Decide.Limits.SecondCopies {
-		return min(max(r.Decide.Limits.MaxAttempts, 1), maxTries)
+		return min(max(r.Decide.Limits.MaxAttempts, 1), maxAttempts)
 	}
 	return 1
 }
@@ -80,87 +80,87 @@
 // goes to the module (enter, tell), and the module's orders come back through the call's mailbox. The first whole
 // answer of a worker is the call's; what else is out is called off then, and how it ended is told all the same.
 func (r *Router) Serve(call *protocol.Call) protocol.Answer {
-	t := &task{call: call}
+	active := &activeCall{call: call}
 	if r.Gate != nil {
 		var refusal *protocol.Answer
-		if t.terms, refusal = r.admit(call); refusal != nil {
+		if active.policy, refusal = r.admit(call); refusal != nil {
 			return *refusal
 		}
-		t.shorten()
+		active.applyDeadline()
 	}
-	r.enter(t) // the module is told of the call, and chooses
-	defer r.leave(t)
-	overdue := time.NewTimer(call.Budget + overtime)
+	r.addCall(active) // the module is told of the call, and chooses
+	defer r.removeCall(active)
+	overdue := time.NewTimer(call.Budget + answerGrace)
 	defer overdue.Stop()
 	timeout := time.NewTimer(call.Budget) // the next end of an attempt's time
 	defer timeout.Stop()
 
-	copies := r.copies()
-	out := make([]*attempt, 0, 2)                  // the attempts that are out
-	results := make(chan transport.Result, copies) // theirs; there is room for all, so that none waits
-	var final *protocol.Answer                     // the answer, once chosen
-	left, ending := call.Left, r.ending
-	var whole <-chan struct{} // the rest of a long message has come
+	maxInFlight := r.maxInFlight()
+	inFlight := make([]*attempt, 0, 2)                  // the attempts that are out
+	results := make(chan transport.Result, maxInFlight) // theirs; there is room for all, so that none waits
+	var final *protocol.Answer                          // the answer, once chosen
+	clientLeft, endCalls := call.Left, r.endCalls
+	var uploadComplete <-chan struct{} // the rest of a long message has come
 	if call.Upload != nil {
-		whole = call.Upload.Whole()
+		uploadComplete = call.Upload.Whole()
 	}
-	leave := func() {
-		left = nil
-		t.gone.Store(true)
-		r.tell(decide.Event{Kind: decide.Left, ID: t.id}) // the module may call the attempts off
+	handleClientLeft := func() {
+		clientLeft = nil
+		active.clientLeft.Store(true)
+		r.dispatch(decide.Event{Kind: decide.Left, ID: active.id}) // the module may call the attempts off
 	}
 	for {
 		select {
-		case a := <-t.orders:
+		case cmd := <-active.commands:
 			switch {
-			case a.Kind == decide.Send && len(out) < copies && final == nil && t.again(len(out)) && r.lawful(t, out, a):
-				d := r.startAttempt(t, a, results)
-				out = append(out, d)
-				if a.Timeout != 0 || !d.begun.Before(d.end) { // else the call's own end, which it is set to
-					timeout.Reset(time.Until(earliest(out)))
+			case cmd.Kind == decide.Send && len(inFlight) < maxInFlight && final == nil && active.allowsAttempt(len(inFlight)) && r.allowsRepeat(active, inFlight, cmd):
+				a := r.startAttempt(active, cmd, results)
+				inFlight = append(inFlight, a)
+				if cmd.Timeout != 0 || !a.startedAt.Before(a.deadline) { // else the call's own end, which it is set to
+					timeout.Reset(time.Until(earliestDeadline(inFlight)))
 				}
-			case a.Kind == decide.Send: // no copy beside another where that is not allowed, nor anything after the answer or the terms
-				if len(out) == 0 && final == nil {
-					final = t.exhausted()
+			case cmd.Kind == decide.Send: // no copy beside another where that is not allowed, nor anything after the answer or the terms
+				if len(inFlight) == 0 && final == nil {
+					final = active.exhaustedAnswer()
 				}
-				r.tell(t.outcome(&attempt{try: t.tries, worker: a.Server}, decide.Moot, final != nil))
-				t.tries++
-			case a.Kind == decide.Cancel && (left == nil || t.again(0) && !t.terms.Once): // else it is called off to be sent again
-				for _, d := range out {
-					if d.try == a.Attempt {
-						d.Abort()
+				r.dispatch(active.outcomeEvent(&attempt{number: active.attempts, worker: cmd.Server}, decide.Moot, final != nil))
+				active.attempts++
+			case cmd.Kind == decide.Cancel && (clientLeft == nil || active.allowsAttempt(0) && !active.policy.Once): // else it is called off to be sent again
+				for _, a := range inFlight {
+					if a.number == cmd.Attempt {
+						a.Abort()
 					}
 				}
-			case a.Kind == decide.Refuse:
-				final = &protocol.Answer{Verdict: protocol.Refused, Wait: a.Wait}
-			case a.Kind == decide.Fail:
+			case cmd.Kind == decide.Refuse:
+				final = &protocol.Answer{Verdict: protocol.Refused, Wait: cmd.Wait}
+			case cmd.Kind == decide.Fail:
 				final = &protocol.Answer{Verdict: protocol.Failed}
-				if !time.Now().Before(t.end) {
+				if !time.Now().Before(active.deadline) {
 					final.Verdict = protocol.Expired
 				}
 			}
 			if final != nil {
-				abort(out) // the answer is chosen; what is out is called off, and its outcome told below
+				abortAll(inFlight) // the answer is chosen; what is out is called off, and its outcome told below
 			}
 
 		case result := <-results:
-			at := slices.IndexFunc(out, func(d *attempt) bool { return d.try == result.Tag })
-			d := out[at]
-			out = slices.Delete(out, at, at+1)
-			if left != nil && t.gone.Load() { // seen right before the first byte
-				leave()
+			index := slices.IndexFunc(inFlight, func(a *attempt) bool { return a.number == result.Tag })
+			a := inFlight[index]
+			inFlight = slices.Delete(inFlight, index, index+1)
+			if clientLeft != nil && active.clientLeft.Load() { // seen right before the first byte
+				handleClientLeft()
 			}
-			d.fresh, d.whole = result.Sent && !result.Kept, result.Err == nil
-			status := d.status(result, left == nil)
+			a.newConnection, a.complete = result.Sent && !result.Kept, result.Err == nil
+			status := a.status(result, clientLeft == nil)
 			if mayHaveRun(status) {
-				t.ran = true
-				t.first.note(d)
+				active.mayHaveRun = true
+				active.firstRun.record(a)
 			}
 			switch {
 			case status == decide.OK && final == nil:
-				d.Reply.Rest = result.Rest
-				final = &protocol.Answer{Verdict: protocol.Served, Reply: d.Reply, End: t.end}
-				abort(out)
+				a.Reply.Rest = result.Rest
+				final = &protocol.Answer{Verdict: protocol.Served, Reply: a.Reply, End: active.deadline}
+				abortAll(inFlight)
 			case result.Rest != nil:
 				result.Rest.Close(false)
 			case final == nil && call.Upload != nil && call.Upload.Begun(): // it cannot be sent again
@@ -169,156 +169,156 @@
 					final.Verdict = protocol.Refused
 				}
 			}
-			r.tell(t.outcome(d, status, final != nil || left == nil)) // the module chooses what comes next
+			r.dispatch(active.outcomeEvent(a, status, final != nil || clientLeft == nil)) // the module chooses what comes next
 
 		case <-timeout.C:
 			now := time.Now()
-			t.extend(out)
-			for _, d := range out {
-				if !now.Before(d.end) {
-					d.expired = true
-					d.Abort()
+			active.extendDeadline(inFlight)
+			for _, a := range inFlight {
+				if !now.Before(a.deadline) {
+					a.timedOut = true
+					a.Abort()
 				}
 			}
-			if next := earliest(out); next.After(now) {
+			if next := earliestDeadline(inFlight); next.After(now) {
 				timeout.Reset(next.Sub(now))
 			}
 
-		case <-whole:
-			whole = nil
-			for _, d := range out {
-				d.begun = time.Now() // what comes from now on is the worker's time
+		case <-uploadComplete:
+			uploadComplete = nil
+			for _, a := range inFlight {
+				a.startedAt = time.Now() // what comes from now on is the worker's time
 			}
 
-		case <-left:
-			leave()
+		case <-clientLeft:
+			handleClientLeft()
 
 		case <-overdue.C:
-			if t.extend(out); time.Now().Before(t.end) {
-				overdue.Reset(time.Until(t.end) + overtime)
+			if active.extendDeadline(inFlight); time.Now().Before(active.deadline) {
+				overdue.Reset(time.Until(active.deadline) + answerGrace)
 				continue
 			}
-			r.Log.Error("call_overdue", "call", t.id, "attempts", t.tries)
-			final = r.giveUp(t, out)
+			r.Log.Error("call_overdue", "call", active.id, "attempts", active.attempts)
+			final = r.giveUp(active, inFlight)
 
-		case <-ending:
-			ending = nil
+		case <-endCalls:
+			endCalls = nil
 			if final == nil {
-				final = r.giveUp(t, out)
+				final = r.giveUp(active, inFlight)
 			}
 		}
-		if len(out) == 0 && (final != nil || left == nil) {
+		if len(inFlight) == 0 && (final != nil || clientLeft == nil) {
 			if final == nil {
-				return t.close(protocol.Answer{}, false) // for nobody
+				return active.finish(protocol.Answer{}, false) // for nobody
 			}
-			return t.close(*final, true)
+			return active.finish(*final, true)
 		}
 	}
 }
 
 // giveUp ends a call without asking the module, which is told that it is over.
-func (r *Router) giveUp(t *task, out []*attempt) *protocol.Answer {
-	r.tell(decide.Event{Kind: decide.Left, ID: t.id})
-	abort(out)
+func (r *Router) giveUp(active *activeCall, inFlight []*attempt) *protocol.Answer {
+	r.dispatch(decide.Event{Kind: decide.Left, ID: active.id})
+	abortAll(inFlight)
 	return &protocol.Answer{Verdict: protocol.Expired}
 }
 
 // extend moves the end of a call whose client still sends.
-func (t *task) extend(out []*attempt) {
-	if t.call.Upload == nil {
+func (c *activeCall) extendDeadline(inFlight []*attempt) {
+	if c.call.Upload == nil {
 		return
 	}
-	t.end = t.call.Upload.End().Add(-t.less)
-	for _, d := range out {
-		d.end = t.end
+	c.deadline = c.call.Upload.End().Add(-c.budgetReduction)
+	for _, a := range inFlight {
+		a.deadline = c.deadline
 	}
 }
 
 // abort calls attempts off. Their connections are closed when it returns, and their results are there.
-func abort(out []*attempt) {
-	for _, d := range out {
-		d.Abort()
+func abortAll(inFlight []*attempt) {
+	for _, a := range inFlight {
+		a.Abort()
 	}
 }
 
 // earliest is the next end of an attempt's time, the zero time where none is out.
-func earliest(out []*attempt) (at time.Time) {
-	for _, d := range out {
-		if !d.expired && (at.IsZero() || d.end.Before(at)) {
-			at = d.end
+func earliestDeadline(inFlight []*attempt) (deadline time.Time) {
+	for _, a := range inFlight {
+		if !a.timedOut && (deadline.IsZero() || a.deadline.Before(deadline)) {
+			deadline = a.deadline
 		}
 	}
-	return at
+	return deadline
 }
 
 // enter makes a call known and tells the module of it.
-func (r *Router) enter(t *task) {
-	call := t.call
-	t.end = time.Now().Add(call.Budget)
-	t.orders = make(chan order, ordersPerTry*min(r.Decide.Limits.MaxAttempts, maxTries)+1)
+func (r *Router) addCall(active *activeCall) {
+	call := active.call
+	active.deadline = time.Now().Add(call.Budget)
+	active.commands = make(chan command, commandsPerAttempt*min(r.Decide.Limits.MaxAttempts, maxAttempts)+1)
 	r.mu.Lock()
 	r.lastCall++
-	t.id = r.lastCall
-	r.calls[t.id] = t
-	rest := r.handle(decide.Event{Kind: decide.Request, ID: t.id, Class: call.Class, Tenant: call.Tenant, Long: call.Upload != nil,
+	active.id = r.lastCall
+	r.calls[active.id] = active
+	actions := r.handle(decide.Event{Kind: decide.Request, ID: active.id, Class: call.Class, Tenant: call.Tenant, Long: call.Upload != nil,
 		Budget: call.Budget, Repeat: call.Repeat, Write: call.Write})
 	r.mu.Unlock()
-	r.carryOut(rest)
+	r.execute(actions)
 }
 
-func (r *Router) leave(t *task) {
+func (r *Router) removeCall(active *activeCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.calls, t.id)
+	delete(r.calls, active.id)
 }
 
 // startAttempt sends a request to the backend that the module chose. Its result goes to results, under its number.
-func (r *Router) startAttempt(t *task, o order, results chan transport.Result) *attempt {
+func (r *Router) startAttempt(active *activeCall, cmd command, results chan transport.Result) *attempt {
 	now := time.Now()
-	d := &attempt{try: t.tries, worker: o.Server, begun: now, end: t.end, router: r, task: t, order: o}
-	if at := now.Add(o.Timeout); o.Timeout != 0 && at.Before(t.end) {
-		d.end = at
+	a := &attempt{number: active.attempts, worker: cmd.Server, startedAt: now, deadline: active.deadline, router: r, activeCall: active, command: cmd}
+	if timeout := now.Add(cmd.Timeout); cmd.Timeout != 0 && timeout.Before(active.deadline) {
+		a.deadline = timeout
 	}
-	d.deadline = d.end
-	t.tries++
-	back := protocol.Return{To: results, Tag: d.try}
-	if o.peer == (transport.Peer{}) {
-		d.Delegation = protocol.Revoked(transport.ErrRevoked, back)
-		return d
+	a.initialDeadline = a.deadline
+	active.attempts++
+	destination := protocol.Return{To: results, Tag: a.number}
+	if cmd.peer == (transport.Peer{}) {
+		a.Delegation = protocol.Revoked(transport.ErrRevoked, destination)
+		return a
 	}
-	d.Delegation = r.Workers.Start(o.peer, t.call.Message, d.deadline, d, back)
-	return d
+	a.Delegation = r.Workers.Start(cmd.peer, active.call.Message, a.initialDeadline, a, destination)
+	return a
 }
 
 // present tells, right before an attempt's first byte, that the client has not left.
-func (t *task) present() bool {
-	if !t.gone.Load() && t.call.Present != nil && !t.call.Present() {
-		t.gone.Store(true)
+func (c *activeCall) clientPresent() bool {
+	if !c.clientLeft.Load() && c.call.Present != nil && !c.call.Present() {
+		c.clientLeft.Store(true)
 	}
-	return !t.gone.Load()
+	return !c.clientLeft.Load()
 }
 
 // outcome is the module's event for how an attempt ended.
-func (t *task) outcome(d *attempt, status decide.Status, over bool) decide.Event {
-	e := decide.Event{Kind: decide.Outcome, ID: t.id, Attempt: d.try, Server: d.worker, Status: status, Done: over}
-	if d.Reply != nil && status != decide.Moot {
-		e.Latency = time.Since(d.begun)
+func (c *activeCall) outcomeEvent(a *attempt, status decide.Status, done bool) decide.Event {
+	event := decide.Event{Kind: decide.Outcome, ID: c.id, Attempt: a.number, Server: a.worker, Status: status, Done: done}
+	if a.Reply != nil && status != decide.Moot {
+		event.Latency = time.Since(a.startedAt)
 	}
-	if d.whole { // of one that was called off, its connection's goroutine may still be reading the answer
-		e.Load = d.Reply.Load
+	if a.complete { // of one that was called off, its connection's goroutine may still be reading the answer
+		event.Load = a.Reply.Load
 	}
-	e.Fresh = d.fresh
-	return e
+	event.Fresh = a.newConnection
+	return event
 }
 
 // status says how an attempt ended. One that was dropped because its client had left says nothing of the
 // worker, and must not be held against it.
-func (a *attempt) status(result transport.Result, gone bool) decide.Status {
-	if gone && !result.Sent {
+func (a *attempt) status(result transport.Result, clientLeft bool) decide.Status {
+	if clientLeft && !result.Sent {
 		return decide.Moot
 	}
 	if result.Err != nil {
-		return failed(result, a.expired)
+		return failureStatus(result, a.timedOut)
 	}
 	switch a.Reply.Kind {
 	case protocol.ReplyServed:
@@ -329,11 +329,11 @@
 	return decide.Errored
 }
 
-// failed is the outcome of an exchange without an answer. Only one whose last byte never went out is
+// failureStatus is the outcome of an exchange without an answer. Only one whose last byte never went out is
 // reported as never run: everything else may have run, and must not go out again unless its class allows.
-func failed(result transport.Result, expired bool) decide.Status {
+func failureStatus(result transport.Result, timedOut bool) decide.Status {
 	switch {
-	case errors.Is(result.Err, transport.ErrAborted) && result.Sent && expired:
+	case errors.Is(result.Err, transport.ErrAborted) && result.Sent && timedOut:
 		return decide.TimedOut
 	case errors.Is(result.Err, transport.ErrAborted) && result.Sent:
 		return decide.Cancelled
--- a/internal/routing/copies_test.go
+++ b/internal/routing/concurrent_attempts_test.go
@@ -16,21 +16,21 @@
 )
 
 // gate is a network on which a connection to an address is there only once somebody opens the address.
-type gate struct {
+type gatedNetwork struct {
 	transport.System
-	mu     sync.Mutex
-	closed map[string]chan struct{}
-	dials  chan string
+	mu    sync.Mutex
+	gates map[string]chan struct{}
+	dials chan string
 }
 
-func (g *gate) Dial(ctx context.Context, addr string) (transport.Socket, error) {
+func (g *gatedNetwork) Dial(ctx context.Context, addr string) (transport.Socket, error) {
 	g.mu.Lock()
-	shut := g.closed[addr]
+	opened := g.gates[addr]
 	g.mu.Unlock()
 	g.dials <- addr
-	if shut != nil {
+	if opened != nil {
 		select {
-		case <-shut:
+		case <-opened:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -39,21 +39,21 @@
 }
 
 // plain is a message of the network's simplest form.
-type plain struct{}
+type plainMessage struct{}
 
-func (plain) Rest() func(transport.Write) error { return nil }
+func (plainMessage) Rest() func(transport.Write) error { return nil }
 
-func (plain) Encode(worker string, _ time.Duration) [][]byte {
+func (plainMessage) Encode(worker string, _ time.Duration) [][]byte {
 	return [][]byte{[]byte("GET /x HTTP/1.1\r\nHost: " + worker + "\r\n\r\n")}
 }
 
 // A second copy that still waits for its connection: what happens to its worker, to the first copy or to the client
 // meanwhile decides whether it goes out, and nothing of it does otherwise.
-func TestCopyBeingDialled(t *testing.T) {
-	type world struct {
-		r    *Router
-		left chan struct{}
-		one  net.Conn // the first copy's
+func TestSecondAttemptWhileDialing(t *testing.T) {
+	type fixture struct {
+		router     *Router
+		clientLeft chan struct{}
+		first      net.Conn // the first copy's
 	}
 	list := func(generation uint64, second protocol.Lifecycle, addrs ...string) *protocol.List {
 		return &protocol.List{Generation: generation, Reset: true, Instances: []protocol.Instance{
@@ -61,26 +61,26 @@
 	}
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
 	for name, test := range map[string]struct {
-		meanwhile func(w world, addrs ...string)
-		reaches   bool // the second copy goes out
-		want      string
+		change     func(f fixture, addrs ...string)
+		secondSent bool // the second copy goes out
+		want       string
 	}{
-		"drained": {func(w world, addrs ...string) {
-			w.r.learn(w.r.source, list(2, protocol.LifecycleDraining, addrs...), decide.ListFull)
+		"drained": {func(f fixture, addrs ...string) {
+			f.router.applyList(f.router.registrySource, list(2, protocol.LifecycleDraining, addrs...), decide.ListFull)
 		}, false, "one"},
-		"restarted": {func(w world, addrs ...string) {
+		"restarted": {func(f fixture, addrs ...string) {
 			l := list(2, protocol.Up, addrs...)
 			l.Instances[1].StartedMs = 9
-			w.r.learn(w.r.source, l, decide.ListFull)
+			f.router.applyList(f.router.registrySource, l, decide.ListFull)
 		}, false, "one"},
-		"first copy's worker gone": {func(w world, _ ...string) { w.one.Close() }, true, "two"},
-		"first copy answers":       {func(w world, _ ...string) { io.WriteString(w.one, answer+"one") }, false, "one"},
-		"client leaves":            {func(w world, _ ...string) { close(w.left) }, false, ""},
-		"nothing":                  {func(world, ...string) {}, true, "two"},
-		"first copy's worker is drained": {func(w world, addrs ...string) {
+		"first copy's worker gone": {func(f fixture, _ ...string) { f.first.Close() }, true, "two"},
+		"first copy answers":       {func(f fixture, _ ...string) { io.WriteString(f.first, answer+"one") }, false, "one"},
+		"client leaves":            {func(f fixture, _ ...string) { close(f.clientLeft) }, false, ""},
+		"nothing":                  {func(fixture, ...string) {}, true, "two"},
+		"first copy's worker is drained": {func(f fixture, addrs ...string) {
 			l := list(2, protocol.Up, addrs...)
 			l.Instances[0].Lifecycle = protocol.LifecycleDraining
-			w.r.learn(w.r.source, l, decide.ListFull)
+			f.router.applyList(f.router.registrySource, l, decide.ListFull)
 		}, true, "two"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,57 +102,57 @@
 					}
 				}()
 			}
-			g := &gate{closed: map[string]chan struct{}{}, dials: make(chan string, 8)}
-			r := New(ctx, Config{Decide: decide.Config{Subscribe: true, Zone: 0,
+			network := &gatedNetwork{gates: map[string]chan struct{}{}, dials: make(chan string, 8)}
+			router := New(ctx, Config{Decide: decide.Config{Subscribe: true, Zone: 0,
 				Classes: []decide.Class{{Aim: 3 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateWorth: 1},
 					{Aim: 900 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Unsafe}},
 				Safety: decide.Safety{FallMultiple: 3, TipAfter: time.Second, StartShare: 0.5},
 				Limits: decide.Limits{SecondCopies: true, Cancel: true, MaxAttempts: 2}},
-				Network: g, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{""}},
-				Workers: &protocol.Workers{Pool: transport.NewPool(g, transport.NewBudget(9), 5*time.Second, time.Minute)}},
+				Network: network, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{""}},
+				Workers: &protocol.Workers{Pool: transport.NewPool(network, transport.NewBudget(9), 5*time.Second, time.Minute)}},
 				&protocol.List{Generation: 1, Reset: true, Instances: []protocol.Instance{{ID: "one", Addr: addrs[0], Lifecycle: protocol.Up}}})
-			w := world{r: r, left: make(chan struct{})}
+			f := fixture{router: router, clientLeft: make(chan struct{})}
 			answers := make(chan protocol.Answer, 1)
 			evidence := make(chan struct{}) // another call out at that worker: one alone would be none against it
 			defer close(evidence)
-			go r.Serve(&protocol.Call{Class: 1, Budget: 10 * time.Second, Message: plain{}, Left: evidence})
-			within(t, accepted[0])
+			go router.Serve(&protocol.Call{Class: 1, Budget: 10 * time.Second, Message: plainMessage{}, Left: evidence})
+			receive(t, accepted[0])
 			go func() {
-				answers <- r.Serve(&protocol.Call{Budget: 10 * time.Second, Message: plain{}, Left: w.left})
+				answers <- router.Serve(&protocol.Call{Budget: 10 * time.Second, Message: plainMessage{}, Left: f.clientLeft})
 			}()
-			w.one = within(t, accepted[0]) // the only worker listed yet
-			g.mu.Lock()
-			g.closed[addrs[1]] = make(chan struct{})
-			g.mu.Unlock()
-			r.learn(r.source, list(2, protocol.Up, addrs...), decide.ListFull)
-			for within(t, g.dials) != addrs[1] { // until the second copy is being dialled
+			f.first = receive(t, accepted[0]) // the only worker listed yet
+			network.mu.Lock()
+			network.gates[addrs[1]] = make(chan struct{})
+			network.mu.Unlock()
+			router.applyList(router.registrySource, list(2, protocol.Up, addrs...), decide.ListFull)
+			for receive(t, network.dials) != addrs[1] { // until the second copy is being dialled
 			}
-			test.meanwhile(w, addrs...)
+			test.change(f, addrs...)
 			if test.want == "one" || test.want == "" { // settled by that alone, or once the first copy answers
 				if name != "first copy answers" && test.want != "" {
-					close(g.closed[addrs[1]])
-					expectNothing(t, within(t, accepted[1]))
-					io.WriteString(w.one, answer+"one")
+					close(network.gates[addrs[1]])
+					expectNoSecondAttempt(t, receive(t, accepted[1]))
+					io.WriteString(f.first, answer+"one")
 				}
 			} else {
-				close(g.closed[addrs[1]])
-				two := within(t, accepted[1])
-				if got := firstLine(two); (got != "") != test.reaches {
+				close(network.gates[addrs[1]])
+				second := receive(t, accepted[1])
+				if got := readRequest(second); (got != "") != test.secondSent {
 					t.Fatalf("the second copy's worker got %q", got)
 				}
-				io.WriteString(two, answer+"two")
+				io.WriteString(second, answer+"two")
 			}
 			got := ""
-			if a := within(t, answers); a.Reply != nil {
+			if a := receive(t, answers); a.Reply != nil {
 				got = string(a.Reply.Body)
 			}
 			if got != test.want {
 				t.Errorf("answered %q, want %q", got, test.want)
 			}
-			if !test.reaches && (name == "first copy answers" || test.want == "") {
+			if !test.secondSent && (name == "first copy answers" || test.want == "") {
 				select {
 				case c := <-accepted[1]:
-					expectNothing(t, c)
+					expectNoSecondAttempt(t, c)
 				default: // it never came up
 				}
 			}
@@ -161,7 +161,7 @@
 }
 
 // within is the next of a channel; that none comes is a failure and not a hang.
-func within[T any](t *testing.T, c <-chan T) T {
+func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case x := <-c:
@@ -173,7 +173,7 @@
 }
 
 // firstLine is the request's path, empty where none came.
-func firstLine(c net.Conn) string {
+func readRequest(c net.Conn) string {
 	buf := make([]byte, 512)
 	n, err := c.Read(buf)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -182,7 +182,7 @@
 	return string(buf[:n])
 }
 
-func expectNothing(t *testing.T, c net.Conn) {
+func expectNoSecondAttempt(t *testing.T, c net.Conn) {
 	t.Helper()
 	if b, _ := io.ReadAll(c); len(b) > 0 {
 		t.Errorf("the second copy's worker got %q", b)
--- a/internal/routing/feed.go
+++ b/internal/routing/feed.go
@@ -14,142 +14,142 @@
 // know whether it will answer the calls that wait or only new ones once it speaks again, nor how soon news must be
 // heeded then: so further calls are made beside the first, and the first answer to any of them counts.
 const (
-	feedWait   = 250 * time.Millisecond // of one watch call
-	feedLate   = 100 * time.Millisecond // past it another call is made beside it
-	feedPace   = 20 * time.Millisecond  // least time between an answer and the next call
-	feedRetry  = 100 * time.Millisecond // least time between two calls without an answer between
-	feedLong   = 2 * time.Second        // that the first call may take beyond its wait
-	feedShort  = 400 * time.Millisecond // and each one beside it
-	feedCalls  = 4                      // out together beside the first
-	feedSilent = time.Second            // without an answer for that long, and for twice as long each time, it is logged
+	agentWatchWait      = 250 * time.Millisecond // of one watch call
+	agentHedgeDelay     = 100 * time.Millisecond // past it another call is made beside it
+	agentMinInterval    = 20 * time.Millisecond  // least time between an answer and the next call
+	agentRetryInterval  = 100 * time.Millisecond // least time between two calls without an answer between
+	agentCallGrace      = 2 * time.Second        // that the first call may take beyond its wait
+	agentHedgeGrace     = 400 * time.Millisecond // and each one beside it
+	agentMaxHedges      = 4                      // out together beside the first
+	agentSilenceWarning = time.Second            // without an answer for that long, and for twice as long each time, it is logged
 )
 
 // feed follows the agent until the router's end. Each watch begins with the whole list, whatever its generation: an
 // agent that has been away may have begun to count anew.
-func (r *Router) feed() {
+func (r *Router) followAgent() {
 	for r.ctx.Err() == nil {
 		r.mu.Lock()
-		s := r.subscribe()
+		sub := r.subscribe()
 		r.mu.Unlock()
-		f := &feeder{Router: r, s: s}
-		for whole := true; s.ctx.Err() == nil; {
-			a, ok := f.ask(whole)
+		watcher := &agentWatcher{Router: r, sub: sub}
+		for full := true; sub.ctx.Err() == nil; {
+			response, ok := watcher.poll(full)
 			if !ok { // moved to another agent, or over
 				break
 			}
 			kind := decide.ListDelta
-			if a.whole {
+			if response.full {
 				r.mu.Lock()
-				r.foreign = true // its count begins with this
+				r.listFromOldRegistry = true // its count begins with this
 				r.mu.Unlock()
 				kind = decide.ListFull
 			}
 			r.mu.Lock()
-			older := !a.whole && !a.list.Reset && a.list.Generation < r.generation
+			outdated := !response.full && !response.list.Reset && response.list.Generation < r.generation
 			r.mu.Unlock()
-			r.learn(s.source, a.list, kind)
-			whole = older // it counts anew without a word: changes to a list that is not the one at hand
-			rest(s.ctx, feedPace)
+			r.applyList(sub.registrySource, response.list, kind)
+			full = outdated // it counts anew without a word: changes to a list that is not the one at hand
+			sleep(sub.ctx, agentMinInterval)
 		}
-		f.close()
+		watcher.close()
 	}
 }
 
 // feeder is one watch on an agent.
-type feeder struct {
+type agentWatcher struct {
 	*Router
-	s    *subscription
-	free []*protocol.Registry // whose connection may be there still
+	sub  *subscription
+	idle []*protocol.Registry // whose connection may be there still
 }
 
 // fed is how one call ended.
-type fed struct {
-	list  *protocol.List
-	err   error
-	whole bool
-	by    *protocol.Registry
+type agentResponse struct {
+	list     *protocol.List
+	err      error
+	full     bool
+	registry *protocol.Registry
 }
 
 // ask asks until there is an answer: for the whole list, or for what is newer than the one at hand. It returns false
 // once the watch is over. When it returns no call is out.
-func (f *feeder) ask(whole bool) (fed, bool) {
-	ctx, cancel := context.WithCancel(f.s.ctx)
-	ends := make(chan fed, feedCalls+1)
-	out := 0
-	call := func(whole bool, grace time.Duration) {
-		by := &protocol.Registry{Network: f.Network, Addr: f.s.addr}
-		if n := len(f.free); n > 0 {
-			by, f.free = f.free[n-1], f.free[:n-1]
+func (w *agentWatcher) poll(full bool) (agentResponse, bool) {
+	ctx, cancel := context.WithCancel(w.sub.ctx)
+	responses := make(chan agentResponse, agentMaxHedges+1)
+	inFlight := 0
+	send := func(full bool, grace time.Duration) {
+		registry := &protocol.Registry{Network: w.Network, Addr: w.sub.addr}
+		if n := len(w.idle); n > 0 {
+			registry, w.idle = w.idle[n-1], w.idle[:n-1]
 		}
-		by.Wait, by.Grace = feedWait, grace
-		f.mu.Lock()
-		since := f.generation
-		f.mu.Unlock()
-		out++
+		registry.Wait, registry.Grace = agentWatchWait, grace
+		w.mu.Lock()
+		since := w.generation
+		w.mu.Unlock()
+		inFlight++
 		go func() {
-			x := fed{whole: whole, by: by}
-			if whole {
-				x.list, x.err = by.Fetch(ctx)
+			response := agentResponse{full: full, registry: registry}
+			if full {
+				response.list, response.err = registry.Fetch(ctx)
 			} else {
-				x.list, x.err = by.Watch(ctx, since)
+				response.list, response.err = registry.Watch(ctx, since)
 			}
-			ends <- x
+			responses <- response
 		}()
 	}
 	defer func() {
-		for cancel(); out > 0; out-- {
-			(<-ends).by.Close()
+		for cancel(); inFlight > 0; inFlight-- {
+			(<-responses).registry.Close()
 		}
 	}()
-	call(whole, feedLong)
-	next := time.NewTimer(feedWait + feedLate)
-	defer next.Stop()
-	silent := feedSilent
-	var last error // that a call ended with
+	send(full, agentCallGrace)
+	hedge := time.NewTimer(agentWatchWait + agentHedgeDelay)
+	defer hedge.Stop()
+	warnAfter := agentSilenceWarning
+	var lastErr error // that a call ended with
 	for {
 		select {
-		case x := <-ends:
-			out--
-			if x.err == nil {
-				f.free = append(f.free, x.by)
-				return x, true
+		case response := <-responses:
+			inFlight--
+			if response.err == nil {
+				w.idle = append(w.idle, response.registry)
+				return response, true
 			}
-			x.by.Close()
-			last = x.err
-			if out == 0 {
-				next.Reset(feedRetry)
+			response.registry.Close()
+			lastErr = response.err
+			if inFlight == 0 {
+				hedge.Reset(agentRetryInterval)
 			}
-		case <-next.C:
-			if out == 0 {
-				call(true, feedLong)
-			} else if out <= feedCalls {
-				call(true, feedShort)
+		case <-hedge.C:
+			if inFlight == 0 {
+				send(true, agentCallGrace)
+			} else if inFlight <= agentMaxHedges {
+				send(true, agentHedgeGrace)
 			}
-			next.Reset(feedRetry)
+			hedge.Reset(agentRetryInterval)
 		case <-ctx.Done():
-			return fed{}, false
+			return agentResponse{}, false
 		}
-		if age := f.ListAge(); age > silent {
-			f.Log.Warn("registry_failed", "registry", f.s.addr, "call", "feed", "list_age", age.Round(time.Millisecond), "err", last)
-			for silent < age {
-				silent *= 2
+		if age := w.ListAge(); age > warnAfter {
+			w.Log.Warn("registry_failed", "registry", w.sub.addr, "call", "feed", "list_age", age.Round(time.Millisecond), "err", lastErr)
+			for warnAfter < age {
+				warnAfter *= 2
 			}
 		}
 	}
 }
 
-func (f *feeder) close() {
-	for _, by := range f.free {
-		by.Close()
+func (w *agentWatcher) close() {
+	for _, registry := range w.idle {
+		registry.Close()
 	}
 }
 
 // rest waits for a while, or until ctx is done.
-func rest(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
@@ -159,5 +159,5 @@
 func (r *Router) ListAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.heard)
+	return time.Since(r.lastAnswer)
 }
--- a/internal/routing/gate.go
+++ b/internal/routing/gate.go
@@ -41,54 +41,54 @@
 
 // admit asks the gate. The answer is the call's where there is one.
 func (r *Router) admit(call *protocol.Call) (Terms, *protocol.Answer) {
-	terms := r.Gate.Enter(call)
-	if a := terms.Refusal; a != nil {
-		refusal := *a
+	policy := r.Gate.Enter(call)
+	if answer := policy.Refusal; answer != nil {
+		refusal := *answer
 		if refusal.Wait = min(refusal.Wait, r.Decide.Limits.MaxRetryAfter); !r.Decide.Limits.RetryAfter {
 			refusal.Wait = 0
 		}
-		return terms, &refusal
+		return policy, &refusal
 	}
-	return terms, nil
+	return policy, nil
 }
 
 // shorten holds the call's time down to the terms'.
-func (t *task) shorten() {
-	if d := t.terms.Deadline; d > 0 && d < t.call.Budget {
-		t.less, t.call.Budget = t.call.Budget-d, d
+func (c *activeCall) applyDeadline() {
+	if deadline := c.policy.Deadline; deadline > 0 && deadline < c.call.Budget {
+		c.budgetReduction, c.call.Budget = c.call.Budget-deadline, deadline
 	}
 }
 
 // again tells whether the terms allow a further attempt beside those that are out.
-func (t *task) again(out int) bool {
-	if t.terms.Attempts > 0 && t.tries >= t.terms.Attempts {
+func (c *activeCall) allowsAttempt(inFlight int) bool {
+	if c.policy.Attempts > 0 && c.attempts >= c.policy.Attempts {
 		return false
 	}
-	return !t.terms.Once || out == 0 && !t.ran
+	return !c.policy.Once || inFlight == 0 && !c.mayHaveRun
 }
 
 // exhausted is the answer of a call that the terms let go out no more, while nothing of it is out.
-func (t *task) exhausted() *protocol.Answer {
-	if t.ran {
+func (c *activeCall) exhaustedAnswer() *protocol.Answer {
+	if c.mayHaveRun {
 		return &protocol.Answer{Verdict: protocol.Failed}
 	}
 	return &protocol.Answer{Verdict: protocol.Refused}
 }
 
 // mayHaveRun tells what an attempt's outcome leaves open.
-func mayHaveRun(s decide.Status) bool {
-	return s != decide.Full && s != decide.ConnectFailed && s != decide.Moot
+func mayHaveRun(status decide.Status) bool {
+	return status != decide.Full && status != decide.ConnectFailed && status != decide.Moot
 }
 
 // close gives the final answer what the terms add to it, and tells the gate.
-func (t *task) close(a protocol.Answer, answered bool) protocol.Answer {
-	a.Header += t.terms.Header
-	if told := t.terms.Written; told != nil {
-		verdict := a.Verdict
-		a.Written = func() { told(verdict) }
+func (c *activeCall) finish(answer protocol.Answer, answered bool) protocol.Answer {
+	answer.Header += c.policy.Header
+	if onWritten := c.policy.Written; onWritten != nil {
+		verdict := answer.Verdict
+		answer.Written = func() { onWritten(verdict) }
 	}
-	if t.terms.Ended != nil {
-		t.terms.Ended(End{Verdict: a.Verdict, Left: !answered, Ran: t.ran || a.Verdict == protocol.Served})
+	if c.policy.Ended != nil {
+		c.policy.Ended(End{Verdict: answer.Verdict, Left: !answered, Ran: c.mayHaveRun || answer.Verdict == protocol.Served})
 	}
-	return a
+	return answer
 }
--- a/internal/routing/guard.go
+++ b/internal/routing/guard.go
@@ -12,75 +12,75 @@
 // against what this sidecar has seen itself, when it is ordered and right before the first byte.
 
 // toldSlack is by how much the time that a backend is told may be over what its client has left (the operators' terms).
-const toldSlack = 150 * time.Millisecond
+const deadlineToldSlack = 150 * time.Millisecond
 
 // firstRun is the earliest attempt of a request that may have run: what decides where and until when it may be repeated.
 type firstRun struct {
-	begun      time.Time // the zero time where none may have run
+	startedAt  time.Time // the zero time where none may have run
 	zone, cell int
 }
 
 // note takes in an attempt that may have run.
-func (f *firstRun) note(d *attempt) {
-	if f.begun.IsZero() || d.begun.Before(f.begun) {
-		*f = firstRun{d.begun, d.order.zone, d.order.cell}
+func (f *firstRun) record(a *attempt) {
+	if f.startedAt.IsZero() || a.startedAt.Before(f.startedAt) {
+		*f = firstRun{a.startedAt, a.command.zone, a.command.cell}
 	}
 }
 
 // mayRepeat tells whether a further attempt is lawful for a request of a class: anywhere while nothing may have run, else as
 // the class allows.
-func (f *firstRun) mayRepeat(class *decide.Class, o order, now time.Time) bool {
+func (f *firstRun) mayRepeat(class *decide.Class, cmd command, now time.Time) bool {
 	switch {
-	case f.begun.IsZero() || class.Effect == decide.Safe:
+	case f.startedAt.IsZero() || class.Effect == decide.Safe:
 		return true
-	case class.Effect == decide.Unsafe || !now.Before(f.begun.Add(class.Window)):
+	case class.Effect == decide.Unsafe || !now.Before(f.startedAt.Add(class.Window)):
 		return false
 	case class.Group == decide.GroupZone:
-		return o.zone == f.zone
+		return cmd.zone == f.zone
 	case class.Group == decide.GroupCell:
-		return o.cell == f.cell
+		return cmd.cell == f.cell
 	}
 	return true
 }
 
 // lawful tells whether the rules on repeats allow what the module has ordered. What is out already may have run.
-func (r *Router) lawful(t *task, out []*attempt, o order) bool {
-	first := t.first
-	for _, d := range out {
-		first.note(d)
+func (r *Router) allowsRepeat(active *activeCall, inFlight []*attempt, cmd command) bool {
+	first := active.firstRun
+	for _, a := range inFlight {
+		first.record(a)
 	}
-	if t.call.Class >= len(r.Decide.Classes) || first.mayRepeat(&r.Decide.Classes[t.call.Class], o, time.Now()) {
+	if active.call.Class >= len(r.Decide.Classes) || first.mayRepeat(&r.Decide.Classes[active.call.Class], cmd, time.Now()) {
 		return true
 	}
-	r.Invariants.Broken(invariant.RepeatAllowed, string(t.call.ID), "attempt", t.tries, "first", time.Since(first.begun))
+	r.Invariants.Broken(invariant.RepeatAllowed, string(active.call.ID), "attempt", active.attempts, "first", time.Since(first.startedAt))
 	return false
 }
 
 // Ready tells, right before the attempt's first byte, that it may still go out: its client's time is not over, its backend is
 // listed up and is the process that was chosen, it is not too late for a repeat, and its client is there.
 func (a *attempt) Ready() bool {
-	long := a.task.call.Upload != nil // its end moves on while it comes
-	return (long || time.Now().Before(a.deadline)) && a.router.may(a.order) && a.task.present()
+	streaming := a.activeCall.call.Upload != nil // its end moves on while it comes
+	return (streaming || time.Now().Before(a.initialDeadline)) && a.router.mayStart(a.command) && a.activeCall.clientPresent()
 }
 
 // Began checks an attempt whose first byte went out so long after Ready. What Ready saw then may not hold any more.
-func (a *attempt) Began(after time.Duration) {
-	r, t := a.router, a.task
-	known := []any{"attempt", a.try, "after", after}
-	if !t.present() {
-		r.Invariants.Broken(invariant.ClientPresent, string(t.call.ID), known...)
+func (a *attempt) Began(delay time.Duration) {
+	r, active := a.router, a.activeCall
+	attributes := []any{"attempt", a.number, "after", delay}
+	if !active.clientPresent() {
+		r.Invariants.Broken(invariant.ClientPresent, string(active.call.ID), attributes...)
 	}
-	if !r.may(a.order) && after > r.Decide.Safety.DrainGrace {
-		r.Invariants.Broken(invariant.BackendListed, string(t.call.ID), known...)
+	if !r.mayStart(a.command) && delay > r.Decide.Safety.DrainGrace {
+		r.Invariants.Broken(invariant.BackendListed, string(active.call.ID), attributes...)
 	}
-	if t.call.Upload != nil {
+	if active.call.Upload != nil {
 		return
 	}
-	if late := time.Since(a.deadline); late > r.Decide.Safety.AnswerSlack {
-		r.Invariants.Broken(invariant.WithinDeadline, string(t.call.ID), append(known, "late", late)...)
+	if late := time.Since(a.initialDeadline); late > r.Decide.Safety.AnswerSlack {
+		r.Invariants.Broken(invariant.WithinDeadline, string(active.call.ID), append(attributes, "late", late)...)
 	}
-	if after > toldSlack {
-		r.Invariants.Broken(invariant.DeadlineTold, string(t.call.ID), known...)
+	if delay > deadlineToldSlack {
+		r.Invariants.Broken(invariant.DeadlineTold, string(active.call.ID), attributes...)
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Ready tells that the backend is listed up, at the same address and with the same start.
-func (g probeGuard) Ready() bool { return g.router.still(g.worker) }
+func (g probeGuard) Ready() bool { return g.router.isCurrent(g.worker) }
 
 // Began is of no interest: a probe has no client, and a late one does no harm.
 func (probeGuard) Began(time.Duration) {}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -45,59 +45,59 @@
 
 // worker is one booking server as the registry last described it.
 type worker struct {
-	id        decide.ServerID
-	instance  string
-	hall      string
-	peer      transport.Peer
-	state     decide.State
-	startedMs int64
-	listed    decide.Server // as the registry describes it, before what the operators have said of it
+	id         decide.ServerID
+	instanceID string
+	zone       string
+	peer       transport.Peer
+	state      decide.State
+	startedMs  int64
+	listed     decide.Server // as the registry describes it, before what the operators have said of it
 }
 
 // Router owns the module and all open calls of one sidecar.
 type Router struct {
 	Config
-	ending chan struct{} // closed when requests have to end
-	end    sync.Once     // closes ending
-	origin time.Time     // the module's clock counts from Unix time zero, on by this one's monotonic reading
-	ctx    context.Context
-
-	mu       sync.Mutex
-	balancer *decide.Balancer
-	calls    map[uint64]*task
-	lastCall uint64
-	ids      map[string]decide.ServerID // of the listed workers; a number is never given again
-	lastID   decide.ServerID
-	lives    uint64 // of workers' processes, so far
-	workers  map[decide.ServerID]*worker
-	up       int             // workers listed up
-	strange  map[string]int  // zones that the settings do not name, each with a number of its own, up to mostStrange
-	seen     map[string]bool // the registry's ids of workers listed since the start, up to maxSeen
-
-	source                        // where the list comes from now
-	foreign      bool             // the list at hand came from the registry before
-	generation   uint64           // of the list at hand
-	subscription *subscription    // the watch that is going on, nil where there is none
-	silent       bool             // a call has found silence, and none has succeeded since
-	informed     bool             // discovery has given a list since the start
-	starts       map[string]start // of the instances seen, by the registry's id, up to maxSeen
-	heard        time.Time        // when the registry last answered; at the start, when this began
+	endCalls    chan struct{} // closed when requests have to end
+	endOnce     sync.Once     // closes ending
+	clockOrigin time.Time     // the module's clock counts from Unix time zero, on by this one's monotonic reading
+	ctx         context.Context
+
+	mu           sync.Mutex
+	balancer     *decide.Balancer
+	calls        map[uint64]*activeCall
+	lastCall     uint64
+	workerIDs    map[string]decide.ServerID // of the listed workers; a number is never given again
+	lastID       decide.ServerID
+	lastLife     uint64 // of workers' processes, so far
+	workers      map[decide.ServerID]*worker
+	upWorkers    int             // workers listed up
+	unknownZones map[string]int  // zones that the settings do not name, each with a number of its own, up to mostStrange
+	seenWorkers  map[string]bool // the registry's ids of workers listed since the start, up to maxSeen
+
+	registrySource                              // where the list comes from now
+	listFromOldRegistry bool                    // the list at hand came from the registry before
+	generation          uint64                  // of the list at hand
+	subscription        *subscription           // the watch that is going on, nil where there is none
+	registrySilent      bool                    // a call has found silence, and none has succeeded since
+	receivedList        bool                    // discovery has given a list since the start
+	startTimes          map[string]processStart // of the instances seen, by the registry's id, up to maxSeen
+	lastAnswer          time.Time               // when the registry last answered; at the start, when this began
 }
 
 // New returns a Router that knows the workers of the list known. It works until ctx is done.
 func New(ctx context.Context, c Config, known *protocol.List) *Router {
 	r := &Router{
-		Config: c, ending: make(chan struct{}), origin: time.Now(), ctx: ctx, balancer: decide.New(c.Decide, c.Seed), source: source{addr: c.Registry},
-		calls: map[uint64]*task{}, ids: map[string]decide.ServerID{}, workers: map[decide.ServerID]*worker{},
-		seen: map[string]bool{}, strange: map[string]int{}, starts: map[string]start{},
+		Config: c, endCalls: make(chan struct{}), clockOrigin: time.Now(), ctx: ctx, balancer: decide.New(c.Decide, c.Seed), registrySource: registrySource{addr: c.Registry},
+		calls: map[uint64]*activeCall{}, workerIDs: map[string]decide.ServerID{}, workers: map[decide.ServerID]*worker{},
+		seenWorkers: map[string]bool{}, unknownZones: map[string]int{}, startTimes: map[string]processStart{},
 	}
 	for _, id := range c.Out.IDs() {
-		r.seen[id] = true
+		r.seenWorkers[id] = true
 	}
-	r.heard = r.origin
-	r.learn(r.source, known, decide.ListCached)
+	r.lastAnswer = r.clockOrigin
+	r.applyList(r.registrySource, known, decide.ListCached)
 	if !c.Decide.Subscribe {
-		go r.feed()
+		go r.followAgent()
 	}
 	return r
 }
@@ -106,12 +106,12 @@
 func (r *Router) Healthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.up > 0
+	return r.upWorkers > 0
 }
 
 // End ends every request that is open: it gets its final answer at once, whatever its client's time, and its attempts are
 // called off. The process is about to end.
-func (r *Router) End() { r.end.Do(func() { close(r.ending) }) }
+func (r *Router) End() { r.endOnce.Do(func() { close(r.endCalls) }) }
 
 // Open is the number of calls that have no answer yet.
 func (r *Router) Open() int {
@@ -122,58 +122,58 @@
 
 // now is the module's clock, read under the lock so that it never goes back between two events.
 func (r *Router) now() time.Duration {
-	return time.Duration(r.origin.UnixNano()) + time.Since(r.origin)
+	return time.Duration(r.clockOrigin.UnixNano()) + time.Since(r.clockOrigin)
 }
 
 // tell hands the module one event and carries out its actions.
-func (r *Router) tell(e decide.Event) {
+func (r *Router) dispatch(event decide.Event) {
 	r.mu.Lock()
-	rest := r.handle(e)
+	actions := r.handle(event)
 	r.mu.Unlock()
-	r.carryOut(rest)
+	r.execute(actions)
 }
 
 // handle runs the module under the lock. Orders to calls are delivered at once; the rest is returned.
-func (r *Router) handle(e decide.Event) []decide.Action {
+func (r *Router) handle(event decide.Event) []decide.Action {
 	now := r.now()
-	actions := r.balancer.Handle(now, e)
+	actions := r.balancer.Handle(now, event)
 	if r.Trace != nil {
-		r.Trace(now, e, actions, r.instance)
+		r.Trace(now, event, actions, r.instanceID)
 	}
-	rest := make([]decide.Action, 0, len(actions))
+	remaining := make([]decide.Action, 0, len(actions))
 	for _, a := range actions {
 		switch a.Kind {
 		case decide.Send, decide.Refuse, decide.Fail, decide.Cancel:
-			if t := r.calls[a.ID]; t != nil {
-				o := order{Action: a}
+			if active := r.calls[a.ID]; active != nil {
+				cmd := command{Action: a}
 				if w := r.workers[a.Server]; w != nil && a.Kind == decide.Send {
-					o.peer, o.zone, o.cell = w.peer, w.listed.Zone, w.listed.Cell
+					cmd.peer, cmd.zone, cmd.cell = w.peer, w.listed.Zone, w.listed.Cell
 				}
-				t.order(o)
+				active.enqueue(cmd)
 			}
 		case decide.Mark:
 		default:
 			a.Data = slices.Clone(a.Data)
-			rest = append(rest, a)
+			remaining = append(remaining, a)
 		}
 	}
-	return rest
+	return remaining
 }
 
 // carryOut does what concerns no single call. It runs without the lock.
-func (r *Router) carryOut(actions []decide.Action) {
+func (r *Router) execute(actions []decide.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case decide.Wake:
-			time.AfterFunc(a.Wait, func() { r.tell(decide.Event{Kind: decide.Timer, Token: a.Token}) })
+			time.AfterFunc(a.Wait, func() { r.dispatch(decide.Event{Kind: decide.Timer, Token: a.Token}) })
 		case decide.Probe:
 			go r.probe(a.Server)
 		case decide.Watch:
-			r.watch(a.On)
+			r.setWatch(a.On)
 		case decide.Fetch:
-			go r.fetch()
+			go r.fetchList()
 		case decide.Close:
-			if w := r.worker(a.Server); w != nil {
+			if w := r.findWorker(a.Server); w != nil {
 				r.Workers.CloseIdle(w.peer)
 			}
 		case decide.Log:
@@ -185,69 +185,69 @@
 }
 
 // instance is the name of a listed worker. It is called under the lock.
-func (r *Router) instance(id decide.ServerID) string {
+func (r *Router) instanceID(id decide.ServerID) string {
 	if w := r.workers[id]; w != nil {
-		return w.instance
+		return w.instanceID
 	}
 	return ""
 }
 
 // worker returns a copy of what is known of a worker, nil where it is not listed.
-func (r *Router) worker(id decide.ServerID) *worker {
+func (r *Router) findWorker(id decide.ServerID) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if w := r.workers[id]; w != nil {
-		v := *w
-		return &v
+		copied := *w
+		return &copied
 	}
 	return nil
 }
 
 // may tells whether an attempt may still begin: its backend is listed up, and is the process that was chosen, and it is not
 // too late for a repeat. An attempt that waited for its connection asks this before it writes.
-func (r *Router) may(o order) bool {
+func (r *Router) mayStart(cmd command) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.isUp(o.Server, o.peer) && (o.Before == 0 || r.now() < o.Before)
+	return r.isCurrentLocked(cmd.Server, cmd.peer) && (cmd.Before == 0 || r.now() < cmd.Before)
 }
 
 // still tells whether a worker is listed up, at the same address and with the same start, as when it was
 // chosen. A probe that waited for its connection asks this before it writes.
-func (r *Router) still(w *worker) bool {
+func (r *Router) isCurrent(w *worker) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.isUp(w.id, w.peer)
+	return r.isCurrentLocked(w.id, w.peer)
 }
 
 // isUp is still, under the lock.
-func (r *Router) isUp(id decide.ServerID, peer transport.Peer) bool {
-	now := r.workers[id]
-	return now != nil && now.state == decide.Ready && now.peer == peer
+func (r *Router) isCurrentLocked(id decide.ServerID, peer transport.Peer) bool {
+	current := r.workers[id]
+	return current != nil && current.state == decide.Ready && current.peer == peer
 }
 
 // probeTime bounds a probe; a worker answers one only after what waits before it.
-const probeTime = 400 * time.Millisecond
+const probeTimeout = 400 * time.Millisecond
 
 // probe asks a worker for its load report and gives the module exactly one result.
 func (r *Router) probe(id decide.ServerID) {
-	e := decide.Event{Kind: decide.Probed, Server: id, Status: decide.ConnectFailed}
-	begun := time.Now()
-	if w := r.worker(id); w != nil {
-		d := r.Workers.Start(w.peer, protocol.Probe(), begun.Add(probeTime), probeGuard{r, w}, protocol.Return{})
-		late := time.AfterFunc(probeTime, d.Abort)
-		result := <-d.Done
-		onTime := late.Stop()
+	event := decide.Event{Kind: decide.Probed, Server: id, Status: decide.ConnectFailed}
+	startedAt := time.Now()
+	if w := r.findWorker(id); w != nil {
+		a := r.Workers.Start(w.peer, protocol.Probe(), startedAt.Add(probeTimeout), probeGuard{r, w}, protocol.Return{})
+		timer := time.AfterFunc(probeTimeout, a.Abort)
+		result := <-a.Done
+		onTime := timer.Stop()
 		switch {
-		case result.Err == nil && d.Reply.Kind == protocol.ReplyServed:
-			e.Status, e.Load = decide.OK, d.Reply.Load
-		case result.Err == nil && d.Reply.Kind == protocol.ReplyFull:
-			e.Status = decide.Full
+		case result.Err == nil && a.Reply.Kind == protocol.ReplyServed:
+			event.Status, event.Load = decide.OK, a.Reply.Load
+		case result.Err == nil && a.Reply.Kind == protocol.ReplyFull:
+			event.Status = decide.Full
 		case result.Err == nil:
-			e.Status = decide.Errored
+			event.Status = decide.Errored
 		default:
-			e.Status = failed(result, !onTime)
+			event.Status = failureStatus(result, !onTime)
 		}
 	}
-	e.Latency = time.Since(begun)
-	r.tell(e)
+	event.Latency = time.Since(startedAt)
+	r.dispatch(event)
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -16,13 +16,13 @@
 )
 
 // What certainly never ran may be refused or sent elsewhere; calling it that wrongly books a car twice.
-func TestOutcomes(t *testing.T) {
+func TestAttemptStatus(t *testing.T) {
 	broken := errors.New("broken")
 	for name, test := range map[string]struct {
-		result        transport.Result
-		kind          protocol.Kind
-		expired, gone bool
-		want          decide.Status
+		result               transport.Result
+		kind                 protocol.Kind
+		timedOut, clientLeft bool
+		want                 decide.Status
 	}{
 		"served":                       {result: transport.Result{Sent: true}, want: decide.OK},
 		"turned away":                  {result: transport.Result{Sent: true}, kind: protocol.ReplyFull, want: decide.Full},
@@ -32,17 +32,17 @@
 		"broken on a kept connection":  {result: transport.Result{Sent: true, Kept: true, Err: broken}, want: decide.Stale},
 		"garbage":                      {result: transport.Result{Sent: true, Err: protocol.ErrBodyTooBig}, want: decide.Spoilt},
 		"answer before the message":    {result: transport.Result{Sent: true, Err: transport.ErrEarly}, want: decide.Spoilt},
-		"time out":                     {result: transport.Result{Sent: true, Err: transport.ErrAborted}, expired: true, want: decide.TimedOut},
+		"time out":                     {result: transport.Result{Sent: true, Err: transport.ErrAborted}, timedOut: true, want: decide.TimedOut},
 		"cancelled":                    {result: transport.Result{Sent: true, Err: transport.ErrAborted}, want: decide.Cancelled},
-		"time out while connecting":    {result: transport.Result{Err: transport.ErrAborted}, expired: true, want: decide.Moot},
+		"time out while connecting":    {result: transport.Result{Err: transport.ErrAborted}, timedOut: true, want: decide.Moot},
 		"no port on this machine":      {result: transport.Result{Err: transport.ErrLocal}, want: decide.Moot},
 		"no descriptor":                {result: transport.Result{Err: transport.ErrCrowded}, want: decide.Moot},
 		"worker left the list":         {result: transport.Result{Err: transport.ErrRevoked}, want: decide.Moot},
-		"client left while connecting": {result: transport.Result{Err: transport.ErrRevoked}, gone: true, want: decide.Moot},
+		"client left while connecting": {result: transport.Result{Err: transport.ErrRevoked}, clientLeft: true, want: decide.Moot},
 	} {
-		d := attempt{expired: test.expired}
-		d.Reply = &protocol.Reply{Kind: test.kind}
-		if got := d.status(test.result, test.gone); got != test.want {
+		a := attempt{timedOut: test.timedOut}
+		a.Reply = &protocol.Reply{Kind: test.kind}
+		if got := a.status(test.result, test.clientLeft); got != test.want {
 			t.Errorf("%s: got %d, want %d", name, got, test.want)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // The list that an attempt is checked against: a late answer brings no drained worker back, a restart or a
 // new address is another worker, and nothing is kept of one that has gone.
-func TestLists(t *testing.T) {
+func TestApplyList(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // no watch is made
 	instance := func(id, addr string, l protocol.Lifecycle, started int64) protocol.Instance {
@@ -61,10 +61,10 @@
 	}
 	up := instance("a", "h:1", protocol.Up, 0)
 	for name, test := range map[string]struct {
-		news  *protocol.List
-		kind  decide.ListKind
-		still bool
-		up    int
+		list      *protocol.List
+		kind      decide.ListKind
+		isCurrent bool
+		upWorkers int
 	}{
 		"nothing":             {list(5, false), decide.ListDelta, true, 2},
 		"draining":            {list(6, false, instance("a", "h:1", protocol.LifecycleDraining, 0)), decide.ListDelta, false, 1},
@@ -81,10 +81,10 @@
 			Network: transport.System{},
 			Workers: &protocol.Workers{Pool: transport.NewPool(transport.System{}, transport.NewBudget(1), time.Second, 0)},
 			Log:     logging.Discard()}, list(5, true, up, instance("b", "h:3", protocol.Up, 0)))
-		was := r.worker(1)
-		r.learn(r.source, test.news, test.kind)
-		got := []any{r.still(was), r.up, len(r.ids)}
-		if diff := cmp.Diff([]any{test.still, test.up, len(r.workers)}, got); diff != "" {
+		before := r.findWorker(1)
+		r.applyList(r.registrySource, test.list, test.kind)
+		got := []any{r.isCurrent(before), r.upWorkers, len(r.workerIDs)}
+		if diff := cmp.Diff([]any{test.isCurrent, test.upWorkers, len(r.workers)}, got); diff != "" {
 			t.Errorf("%s: (-want +got)\n%s", name, diff)
 		}
 	}
@@ -92,7 +92,7 @@
 
 // A late answer of the registry that was moved from must not win, nor its failure count; the new one may count
 // from anywhere until its whole list is there, and then only forward.
-func TestMove(t *testing.T) {
+func TestMoveRegistry(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // no watch is made
 	list := func(generation uint64, id string) *protocol.List {
@@ -103,17 +103,17 @@
 		Network: transport.System{},
 		Workers: &protocol.Workers{Pool: transport.NewPool(transport.System{}, transport.NewBudget(1), time.Second, 0)},
 		Log:     logging.Discard()}, list(5, "a"))
-	old := r.source
+	old := r.registrySource
 	r.MoveRegistry("new")
 	for _, step := range []struct {
-		from source
+		from registrySource
 		list *protocol.List
 		want string
-	}{{old, list(6, "b"), "a"}, {r.source, list(2, "c"), "c"}, {old, list(7, "d"), "c"}, {r.source, list(1, "e"), "c"}} {
-		r.learn(step.from, step.list, decide.ListFull)
+	}{{old, list(6, "b"), "a"}, {r.registrySource, list(2, "c"), "c"}, {old, list(7, "d"), "c"}, {r.registrySource, list(1, "e"), "c"}} {
+		r.applyList(step.from, step.list, decide.ListFull)
 		got := ""
 		for _, w := range r.workers {
-			got += w.instance
+			got += w.instanceID
 		}
 		if got != step.want {
 			t.Errorf("after list %d of %s: got %s, want %s", step.list.Generation, step.from.addr, got, step.want)
@@ -124,7 +124,7 @@
 // A start in Unix time and the module's clock must be one scale, and the clock must not go back.
 func TestClock(t *testing.T) {
 	before := time.Now()
-	r := &Router{origin: before}
+	r := &Router{clockOrigin: before}
 	if now := r.now(); now < time.Duration(before.UnixNano()) || now > time.Duration(time.Now().Add(time.Second).UnixNano()) {
 		t.Errorf("%v is not Unix time", now)
 	}
--- a/internal/routing/times.go
+++ b/internal/routing/times.go
@@ -16,31 +16,31 @@
 // refuses it. Giving it up before and asking again would fill that turn with calls that nobody waits for, and no call would
 // be answered any more.
 const (
-	shareWatch = 0.33 // the longest wait of a watch
-	shareLate  = 0.12 // by which its answer may be late: past it the watch is broken
-	shareQuick = 0.015
-	sharePlain = 0.37 // of a call that need not wait
+	watchWaitShare    = 0.33 // the longest wait of a watch
+	watchGraceShare   = 0.12 // by which its answer may be late: past it the watch is broken
+	catchUpWaitShare  = 0.015
+	fetchTimeoutShare = 0.37 // of a call that need not wait
 
 	// watchSpread is the part of a watch's wait by which waits differ: after a change that all sidecars have heard together
 	// they would else ask together for ever.
-	watchSpread = 0.2
+	watchJitter = 0.2
 )
 
 // times are the bounds of calls to discovery.
-type times struct {
-	watch time.Duration // the longest wait of a watch
-	late  time.Duration // by which its answer may be late
-	quick time.Duration // the wait of the call that makes up for a silent watch
-	plain time.Duration // in which a call has to be answered that need not wait
+type registryTimeouts struct {
+	maxWatchWait time.Duration // the longest wait of a watch
+	watchGrace   time.Duration // by which its answer may be late
+	catchUp      time.Duration // the wait of the call that makes up for a silent watch
+	fetchTimeout time.Duration // in which a call has to be answered that need not wait
 }
 
 // timesWithin divides the time within which a change has to be heard of.
-func timesWithin(told time.Duration) times {
-	share := func(part float64) time.Duration { return time.Duration(part * float64(told)) }
-	return times{watch: share(shareWatch), late: share(shareLate), quick: share(shareQuick), plain: share(sharePlain)}
+func newRegistryTimeouts(learnWithin time.Duration) registryTimeouts {
+	share := func(fraction float64) time.Duration { return time.Duration(fraction * float64(learnWithin)) }
+	return registryTimeouts{maxWatchWait: share(watchWaitShare), watchGrace: share(watchGraceShare), catchUp: share(catchUpWaitShare), fetchTimeout: share(fetchTimeoutShare)}
 }
 
 // wait is the wait of one watch; at, from 0 to 1, is where in the spread.
-func (t times) wait(at float64) time.Duration {
-	return time.Duration((1 - watchSpread*at) * float64(t.watch))
+func (t registryTimeouts) watchWait(position float64) time.Duration {
+	return time.Duration((1 - watchJitter*position) * float64(t.maxWatchWait))
 }
