--- a/internal/routing/age.go
+++ b/internal/routing/age.go
@@ -6,22 +6,23 @@
 	"burlpass/internal/protocol"
 )
 
-// Discovery tells a backend's start as Unix time, and a machine's wall clock may be stepped, by seconds or by an hour, before
-// this process starts as well as after. What this process has seen itself bounds what the clocks say, to the cold side: a
-// backend that is held to be younger than it is gets less for a while, one that is held to be older falls over.
+// The registry reports a worker's start as Unix time. The wall clocks of both machines may be stepped, by seconds or by an
+// hour, before this process starts as well as after. What this process has observed itself therefore bounds the reported
+// start, erring towards a younger worker: a worker taken for younger than it is gets less load for a while, one taken for
+// older is overloaded.
 
-// newsAge is how old a start is held to be at most that discovery tells of while this process listens.
+// maxNewStartAge is the greatest age assumed for a start that the registry first reports while this process is connected.
 const maxNewStartAge = 2 * time.Second
 
-// start is when a backend's process started, as discovery tells it and on the module's clock.
+// processStart is the start time of a worker's process, as reported by the registry and on the balancer's clock.
 type processStart struct {
 	reportedMs int64
 	at         time.Duration
 }
 
-// started is an instance's start on the module's clock; 0 means long ago. news tells that a list from before, which discovery
-// itself had given, did not have this start. A start keeps its time however often it is listed, and also where its instance
-// was left out in between. It is called under the lock.
+// startTime returns an instance's start on the balancer's clock; 0 means long ago. hadList is true if the registry has sent
+// an earlier list, which did not have this start. A start keeps its time however often it is listed, also if its instance
+// was missing from a list in between. The caller holds r.mu.
 func (r *Router) startTime(instance *protocol.Instance, hadList bool) time.Duration {
 	if instance.StartedMs == 0 {
 		return 0
@@ -30,7 +31,7 @@
 		return known.at
 	}
 	now := r.now()
-	at := min(time.Duration(instance.StartedMs)*time.Millisecond, now) // a start to come is one of now
+	at := min(time.Duration(instance.StartedMs)*time.Millisecond, now) // a start in the future counts as now
 	if hadList {
 		at = max(at, now-maxNewStartAge)
 	}
--- a/internal/routing/maintenance.go
+++ b/internal/routing/maintenance.go
@@ -11,41 +11,41 @@
 	"burlpass/internal/transport"
 )
 
-// maxSeen bounds the ids of workers remembered as once listed: a sidecar beside a registry that replaces its workers
-// for months must not grow for it. Beyond it, only those listed now, or taken out, are known.
+// maxSeenWorkers bounds the IDs of workers remembered as once listed, so that memory does not grow where workers are
+// replaced for months. Beyond it, new IDs are not remembered.
 const maxSeenWorkers = 1 << 16
 
-// ErrNeverListed is the reason to refuse the id of a worker that no list has named since the start.
+// ErrNeverListed is returned for the ID of a worker that no list has named since the start.
 var ErrNeverListed = errors.New("no such worker has been listed")
 
-// ErrNoHall is the reason to refuse the name of a hall that the settings do not have.
+// ErrNoHall is returned for a hall that the settings do not name. Operators call a zone a hall.
 var ErrNoHall = errors.New("no such hall")
 
-// Disable takes a worker out of use for this sidecar: from now on the module is told that it drains, whatever the
-// registry says, until Enable. It returns ErrNeverListed, and changes nothing, for an id never listed. Taking out
-// one that is out already is no change.
+// Disable takes a worker out of use for this sidecar: until Enable, the balancer sees it as draining, whatever the
+// registry says. For an ID that was never listed it returns ErrNeverListed and changes nothing. Disabling a disabled
+// worker is no change.
 func (r *Router) Disable(id string) error {
 	return r.updateMaintenance(r.Known(id), func(s *maintenance.Set) bool { return s.Disable(id) })
 }
 
-// Enable puts a worker back into use; the registry's word on it counts again. An id that is out, or was ever listed,
-// is accepted, also where the registry has dropped it meanwhile.
+// Enable puts a worker back into use; the state reported by the registry applies again. An ID that is disabled or was ever
+// listed is accepted, even if the registry has dropped it since.
 func (r *Router) Enable(id string) error {
 	return r.updateMaintenance(r.Known(id), func(s *maintenance.Set) bool { return s.Enable(id) })
 }
 
-// DisableHall is Disable for all workers of a hall, also those that are listed there later. It returns ErrNoHall for one
-// that the settings do not name.
+// DisableHall disables all workers of a hall, including those listed there later. It returns ErrNoHall for a hall that
+// the settings do not name.
 func (r *Router) DisableHall(name string) error {
 	return r.updateMaintenance(r.KnownHall(name), func(s *maintenance.Set) bool { return s.DisableHall(name) })
 }
 
-// EnableHall ends DisableHall.
+// EnableHall reverts DisableHall.
 func (r *Router) EnableHall(name string) error {
 	return r.updateMaintenance(r.KnownHall(name), func(s *maintenance.Set) bool { return s.EnableHall(name) })
 }
 
-// Known returns ErrNeverListed for the id of a worker that was never listed and is not taken out.
+// Known returns ErrNeverListed for the ID of a worker that was never listed and is not disabled.
 func (r *Router) Known(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,13 +63,15 @@
 	return nil
 }
 
-// Maintain replaces all that is taken out by hand: what a cluster's orders come to. Ids and halls that are not known here are
-// kept; they count once they are listed.
+// Maintain replaces the set of disabled workers and halls, for example with the cluster's. IDs and halls that are unknown
+// here are kept; they take effect once they are listed.
 func (r *Router) Maintain(set maintenance.Set) {
 	set = set.Clone()
 	r.updateMaintenance(nil, func(s *maintenance.Set) bool { *s = set; return true })
 }
 
+// updateMaintenance applies change and notifies the balancer of the workers whose state it affects. If invalid is not nil,
+// it changes nothing and returns invalid.
 func (r *Router) updateMaintenance(invalid error, change func(*maintenance.Set) bool) error {
 	if invalid != nil {
 		return invalid
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// recount counts the workers that may be chosen. It is called under the lock.
+// countUpWorkers counts the workers that may be chosen. The caller holds r.mu.
 func (r *Router) countUpWorkers() {
 	r.upWorkers = 0
 	for _, w := range r.workers {
@@ -117,15 +119,15 @@
 	}
 }
 
-// Maintenance returns a copy of the workers and halls taken out by hand.
+// Maintenance returns a copy of the set of disabled workers and halls.
 func (r *Router) Maintenance() maintenance.Set {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Out.Clone()
 }
 
-// Hosts gives the number of workers listed, and of those the number that this sidecar avoids now: taken out by
-// hand, or draining.
+// Hosts returns the number of listed workers and the number of those that this sidecar avoids because they are disabled
+// or draining.
 func (r *Router) Hosts() (listed, down int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,9 +1,11 @@
-// Package routing drives the decision module: it turns what happens to calls, workers and the registry into
-// the module's events and carries out the actions that the module answers with. It decides nothing itself.
+// Package routing connects the balancer (package decide) to the network: it turns what happens to calls, workers and
+// the registry into the balancer's events and executes the actions that the balancer returns. It decides nothing itself.
 //
-// One mutex guards the module and the tables here. Each event reads the clock, runs the module, and copies
-// its actions out under that lock; what a call is to do next is put into the call's own mailbox there, so
-// that orders reach it as the module gave them. No I/O is done under the lock.
+// A worker is a backend server, a call is a client's request, and the registry is the service discovery.
+//
+// One mutex guards the balancer and the tables here. Each event reads the clock, runs the balancer and copies its
+// actions under that lock. Commands to a call enter the call's own queue under the same lock, so the call receives them
+// in the order in which the balancer issued them. No I/O is done under the lock.
 package routing
 
 import (
@@ -20,30 +22,30 @@
 	"burlpass/internal/transport"
 )
 
-// Config is what a Router is made of.
+// Config holds the settings and dependencies of a Router.
 type Config struct {
 	Decide   decide.Config
 	Seed     uint64
 	Names    Names
 	Workers  *protocol.Workers
-	Network  transport.Network // on which the registry is reached
-	Registry string            // its address at the start
+	Network  transport.Network // used to reach the registry
+	Registry string            // initial address of the registry
 	Log      *slog.Logger
-	Out      maintenance.Set // workers taken out by hand at the start, as a process before this one left them
-	Gate     Gate            // asked about every call before the module; nil for none
+	Out      maintenance.Set // workers and zones initially disabled by operators, as stored by the previous process
+	Gate     Gate            // asked about every call before the balancer; nil for none
 
-	Invariants *invariant.Monitor // counts what must never happen; nil: nobody counts
+	Invariants *invariant.Monitor // counts violations; nil disables counting
 
-	// Trace is shown every event and the actions that it led to, under the lock; nil for none. It must keep neither.
+	// Trace is called under the lock with every event and the resulting actions; nil for none. It must not retain either.
 	Trace func(now time.Duration, e decide.Event, actions []decide.Action, name func(decide.ServerID) string)
 }
 
-// Names holds the settings' lists of names; the module knows a name by its position.
+// Names holds the lists of names from the settings. The balancer identifies a name by its position.
 type Names struct {
 	Zones, Kinds, Classes []string
 }
 
-// worker is one booking server as the registry last described it.
+// worker is a worker as the registry last described it.
 type worker struct {
 	id         decide.ServerID
 	instanceID string
@@ -51,43 +53,44 @@
 	peer       transport.Peer
 	state      decide.State
 	startedMs  int64
-	listed     decide.Server // as the registry describes it, before what the operators have said of it
+	listed     decide.Server // as described by the registry, without the operators' changes
 }
 
-// Router owns the module and all open calls of one sidecar.
+// Router owns the balancer and all open calls of one sidecar.
 type Router struct {
 	Config
-	endCalls    chan struct{} // closed when requests have to end
-	endOnce     sync.Once     // closes ending
-	clockOrigin time.Time     // the module's clock counts from Unix time zero, on by this one's monotonic reading
+	endCalls    chan struct{} // closed to end all open calls
+	endOnce     sync.Once     // guards the closing of endCalls
+	clockOrigin time.Time     // the balancer's clock is this Unix time plus the monotonic time since
 	ctx         context.Context
 
 	mu           sync.Mutex
 	balancer     *decide.Balancer
 	calls        map[uint64]*activeCall
 	lastCall     uint64
-	workerIDs    map[string]decide.ServerID // of the listed workers; a number is never given again
+	workerIDs    map[string]decide.ServerID // by the registry's ID, listed workers only; IDs are never reused
 	lastID       decide.ServerID
-	lastLife     uint64 // of workers' processes, so far
+	lastLife     uint64 // last number given to a worker process
 	workers      map[decide.ServerID]*worker
-	upWorkers    int             // workers listed up
-	unknownZones map[string]int  // zones that the settings do not name, each with a number of its own, up to mostStrange
-	seenWorkers  map[string]bool // the registry's ids of workers listed since the start, up to maxSeen
+	upWorkers    int             // number of workers that may be chosen
+	unknownZones map[string]int  // numbers of zones missing from the settings, at most maxUnknownZones
+	seenWorkers  map[string]bool // registry IDs of workers listed since the start, at most maxSeenWorkers
 
-	registrySource                              // where the list comes from now
-	listFromOldRegistry bool                    // the list at hand came from the registry before
-	generation          uint64                  // of the list at hand
-	subscription        *subscription           // the watch that is going on, nil where there is none
-	registrySilent      bool                    // a call has found silence, and none has succeeded since
-	receivedList        bool                    // discovery has given a list since the start
-	startTimes          map[string]processStart // of the instances seen, by the registry's id, up to maxSeen
-	lastAnswer          time.Time               // when the registry last answered; at the start, when this began
+	registrySource                              // the current registry
+	listFromOldRegistry bool                    // the current list came from the previous registry
+	generation          uint64                  // of the current list
+	subscription        *subscription           // the active watch, or nil
+	registrySilent      bool                    // an exchange with the registry timed out, and none has succeeded since
+	receivedList        bool                    // the registry has sent a list since the start
+	startTimes          map[string]processStart // by the registry's ID, at most maxSeenWorkers
+	lastAnswer          time.Time               // when the registry last answered; initially the start of the router
 }
 
-// New returns a Router that knows the workers of the list known. It works until ctx is done.
+// New returns a Router that starts with the workers of the list known. It runs until ctx is done.
 func New(ctx context.Context, c Config, known *protocol.List) *Router {
 	r := &Router{
-		Config: c, endCalls: make(chan struct{}), clockOrigin: time.Now(), ctx: ctx, balancer: decide.New(c.Decide, c.Seed), registrySource: registrySource{addr: c.Registry},
+		Config: c, endCalls: make(chan struct{}), clockOrigin: time.Now(), ctx: ctx,
+		balancer: decide.New(c.Decide, c.Seed), registrySource: registrySource{addr: c.Registry},
 		calls: map[uint64]*activeCall{}, workerIDs: map[string]decide.ServerID{}, workers: map[decide.ServerID]*worker{},
 		seenWorkers: map[string]bool{}, unknownZones: map[string]int{}, startTimes: map[string]processStart{},
 	}
@@ -102,30 +105,30 @@
 	return r
 }
 
-// Healthy tells whether a call could be served now.
+// Healthy reports whether at least one worker may be chosen.
 func (r *Router) Healthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.upWorkers > 0
 }
 
-// End ends every request that is open: it gets its final answer at once, whatever its client's time, and its attempts are
-// called off. The process is about to end.
+// End ends all open calls because the process is about to exit: each call gets its final answer at once, however much
+// time its client has left, and its attempts are aborted.
 func (r *Router) End() { r.endOnce.Do(func() { close(r.endCalls) }) }
 
-// Open is the number of calls that have no answer yet.
+// Open returns the number of calls that have no answer yet.
 func (r *Router) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls)
 }
 
-// now is the module's clock, read under the lock so that it never goes back between two events.
+// now returns the balancer's time. It is read under the lock so that it never goes back between two events.
 func (r *Router) now() time.Duration {
 	return time.Duration(r.clockOrigin.UnixNano()) + time.Since(r.clockOrigin)
 }
 
-// tell hands the module one event and carries out its actions.
+// dispatch passes one event to the balancer and executes the resulting actions.
 func (r *Router) dispatch(event decide.Event) {
 	r.mu.Lock()
 	actions := r.handle(event)
@@ -133,7 +136,8 @@
 	r.execute(actions)
 }
 
-// handle runs the module under the lock. Orders to calls are delivered at once; the rest is returned.
+// handle runs the balancer. Commands to calls are queued at once; the remaining actions are returned.
+// The caller holds r.mu.
 func (r *Router) handle(event decide.Event) []decide.Action {
 	now := r.now()
 	actions := r.balancer.Handle(now, event)
@@ -160,7 +164,7 @@
 	return remaining
 }
 
-// carryOut does what concerns no single call. It runs without the lock.
+// execute performs the actions that concern no single call. The caller must not hold r.mu.
 func (r *Router) execute(actions []decide.Action) {
 	for _, a := range actions {
 		switch a.Kind {
@@ -178,13 +182,13 @@
 			}
 		case decide.Log:
 			r.Log.Info("decision", "text", a.Text)
-		default: // sidecars have no way to talk to one another here
+		default: // such as messages to other sidecars, for which there is no channel
 			r.Log.Warn("action_ignored", "kind", int(a.Kind))
 		}
 	}
 }
 
-// instance is the name of a listed worker. It is called under the lock.
+// instanceID returns the registry's ID of a listed worker, or "". The caller holds r.mu.
 func (r *Router) instanceID(id decide.ServerID) string {
 	if w := r.workers[id]; w != nil {
 		return w.instanceID
@@ -192,7 +196,7 @@
 	return ""
 }
 
-// worker returns a copy of what is known of a worker, nil where it is not listed.
+// findWorker returns a copy of the entry of a listed worker, or nil.
 func (r *Router) findWorker(id decide.ServerID) *worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,32 +207,32 @@
 	return nil
 }
 
-// may tells whether an attempt may still begin: its backend is listed up, and is the process that was chosen, and it is not
-// too late for a repeat. An attempt that waited for its connection asks this before it writes.
+// mayStart reports whether an attempt may still start: its worker is listed up and is the process that was chosen, and
+// the time limit for a repeat has not passed. An attempt that waited for its connection checks this before it writes.
 func (r *Router) mayStart(cmd command) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isCurrentLocked(cmd.Server, cmd.peer) && (cmd.Before == 0 || r.now() < cmd.Before)
 }
 
-// still tells whether a worker is listed up, at the same address and with the same start, as when it was
-// chosen. A probe that waited for its connection asks this before it writes.
+// isCurrent reports whether a worker is listed up with the address and start time that it had when it was chosen.
+// A probe that waited for its connection checks this before it writes.
 func (r *Router) isCurrent(w *worker) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isCurrentLocked(w.id, w.peer)
 }
 
-// isUp is still, under the lock.
+// isCurrentLocked is isCurrent for callers that hold r.mu.
 func (r *Router) isCurrentLocked(id decide.ServerID, peer transport.Peer) bool {
 	current := r.workers[id]
 	return current != nil && current.state == decide.Ready && current.peer == peer
 }
 
-// probeTime bounds a probe; a worker answers one only after what waits before it.
+// probeTimeout bounds a probe, including the time that it waits in the worker's queue.
 const probeTimeout = 400 * time.Millisecond
 
-// probe asks a worker for its load report and gives the module exactly one result.
+// probe asks a worker for its load report and dispatches exactly one result to the balancer.
 func (r *Router) probe(id decide.ServerID) {
 	event := decide.Event{Kind: decide.Probed, Server: id, Status: decide.ConnectFailed}
 	startedAt := time.Now()
