--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -11,33 +11,33 @@
 	"burlpass/internal/transport"
 )
 
-// task is one open call. Its fields belong to the call's goroutine, but for the mailbox.
+// activeCall is the state of one open call. Its fields belong to the call's goroutine, except for commands and clientLeft.
 type activeCall struct {
 	id         uint64
 	call       *protocol.Call
-	deadline   time.Time // when the client gives up
+	deadline   time.Time // when the client stops waiting
 	commands   chan command
-	attempts   int         // attempts so far
-	clientLeft atomic.Bool // the client has left: nothing new may go out
+	attempts   int         // number of attempts so far
+	clientLeft atomic.Bool // no further attempt may start
 
-	policy          Terms         // what the gate said, once
-	budgetReduction time.Duration // that the terms take of the client's time
-	mayHaveRun      bool          // an attempt has ended that may have run
-	firstRun        firstRun      // the earliest of those
+	policy          Terms         // the gate's terms, set once
+	budgetReduction time.Duration // by which the terms shorten the client's time
+	mayHaveRun      bool          // an attempt has ended that the worker may have executed
+	firstRun        firstRun      // the earliest of those attempts
 }
 
-// ordersPerTry bounds the orders for one attempt: its send, a cancel, and a second one when the call ends.
+// commandsPerAttempt bounds the commands for one attempt: a send, a cancel, and a second cancel when the call ends.
 const commandsPerAttempt = 3
 
-// order is an action of the module for one request.
+// command is an action of the balancer for one call.
 type command struct {
 	decide.Action
-	peer       transport.Peer // with Send: the backend's process as it was listed at the choice; zero where it is not listed
-	zone, cell int            // where that is
+	peer       transport.Peer // with Send: the worker's process as listed when it was chosen; zero if not listed
+	zone, cell int            // location of the chosen worker
 }
 
-// order puts an action into the mailbox. It is called under the router's lock and never waits. The mailbox
-// holds all that a module may rightly order; past that an order is dropped, and the call ends as overdue.
+// enqueue adds a command to the call's queue. It never blocks; the caller holds the router's lock. The queue has room for
+// every command that the balancer can validly issue. Beyond that a command is dropped, and the call ends as overdue.
 func (c *activeCall) enqueue(cmd command) {
 	select {
 	case c.commands <- cmd:
@@ -45,30 +45,30 @@
 	}
 }
 
-// attempt is one send of a request to a backend.
+// attempt is one sending of a call to a worker.
 type attempt struct {
 	protocol.Delegation
 	number          int
 	worker          decide.ServerID
 	startedAt       time.Time
-	deadline        time.Time // of the attempt's or the call's time
+	deadline        time.Time // the earlier of the attempt's timeout and the call's deadline
 	router          *Router
 	activeCall      *activeCall
 	command         command
-	initialDeadline time.Time // the end as it was at the beginning, for the goroutine that writes
-	timedOut        bool      // given up for that
-	newConnection   bool      // went over a connection opened for it
-	complete        bool      // its answer has been read whole
+	initialDeadline time.Time // deadline at the start; unlike deadline it is safe to read on the connection's goroutine
+	timedOut        bool      // aborted because the deadline passed
+	newConnection   bool      // sent over a connection opened for it
+	complete        bool      // the answer has been read in full
 }
 
-// maxTries bounds a mailbox where a deployment allows attempts without end, and the copies that are out together.
+// maxAttempts bounds the command queue, where the settings allow any number of attempts, and the attempts in flight.
 const maxAttempts = 32
 
-// overtime is how long after a call's end the router waits for the module's own answer. The module gives
-// one at the end; that it should not is a fault, and the client is answered all the same.
+// answerGrace is how long after a call's deadline the router waits for the balancer's answer. The balancer gives one at
+// the deadline; if it fails to, the router answers the client itself.
 const answerGrace = 20 * time.Millisecond
 
-// copies is how many attempts of a call may be out together.
+// maxInFlight returns how many attempts of one call may be in flight together.
 func (r *Router) maxInFlight() int {
 	if r.Decide.Limits.SecondCopies {
 		return min(max(r.Decide.Limits.MaxAttempts, 1), maxAttempts)
@@ -76,9 +76,9 @@
 	return 1
 }
 
-// Serve is the life of a call, from being taken to its one final answer. At each point of choice an event
-// goes to the module (enter, tell), and the module's orders come back through the call's mailbox. The first whole
-// answer of a worker is the call's; what else is out is called off then, and how it ended is told all the same.
+// Serve handles a call until its one final answer. Each decision is an event for the balancer (addCall, dispatch), whose
+// commands come back through the call's queue. The first complete answer of a worker becomes the call's answer. Other
+// attempts in flight are then aborted; the balancer is still notified of how they ended.
 func (r *Router) Serve(call *protocol.Call) protocol.Answer {
 	active := &activeCall{call: call}
 	if r.Gate != nil {
@@ -88,44 +88,46 @@
 		}
 		active.applyDeadline()
 	}
-	r.addCall(active) // the module is told of the call, and chooses
+	r.addCall(active) // the balancer's first command is queued by now
 	defer r.removeCall(active)
 	overdue := time.NewTimer(call.Budget + answerGrace)
 	defer overdue.Stop()
-	timeout := time.NewTimer(call.Budget) // the next end of an attempt's time
+	timeout := time.NewTimer(call.Budget) // fires at the earliest deadline of an attempt
 	defer timeout.Stop()
 
 	maxInFlight := r.maxInFlight()
-	inFlight := make([]*attempt, 0, 2)                  // the attempts that are out
-	results := make(chan transport.Result, maxInFlight) // theirs; there is room for all, so that none waits
-	var final *protocol.Answer                          // the answer, once chosen
+	inFlight := make([]*attempt, 0, 2)                  // attempts without a result yet
+	results := make(chan transport.Result, maxInFlight) // of the attempts; buffered for all of them, so that no sender blocks
+	var final *protocol.Answer                          // the final answer, once decided
 	clientLeft, endCalls := call.Left, r.endCalls
-	var uploadComplete <-chan struct{} // the rest of a long message has come
+	var uploadComplete <-chan struct{} // closed when the rest of a long message has been read
 	if call.Upload != nil {
 		uploadComplete = call.Upload.Whole()
 	}
 	handleClientLeft := func() {
 		clientLeft = nil
 		active.clientLeft.Store(true)
-		r.dispatch(decide.Event{Kind: decide.Left, ID: active.id}) // the module may call the attempts off
+		r.dispatch(decide.Event{Kind: decide.Left, ID: active.id}) // the balancer may cancel the attempts
 	}
 	for {
 		select {
 		case cmd := <-active.commands:
 			switch {
-			case cmd.Kind == decide.Send && len(inFlight) < maxInFlight && final == nil && active.allowsAttempt(len(inFlight)) && r.allowsRepeat(active, inFlight, cmd):
+			case cmd.Kind == decide.Send && len(inFlight) < maxInFlight && final == nil &&
+				active.allowsAttempt(len(inFlight)) && r.allowsRepeat(active, inFlight, cmd):
 				a := r.startAttempt(active, cmd, results)
 				inFlight = append(inFlight, a)
-				if cmd.Timeout != 0 || !a.startedAt.Before(a.deadline) { // else the call's own end, which it is set to
+				if cmd.Timeout != 0 || !a.startedAt.Before(a.deadline) { // otherwise the timer is already set to the call's deadline
 					timeout.Reset(time.Until(earliestDeadline(inFlight)))
 				}
-			case cmd.Kind == decide.Send: // no copy beside another where that is not allowed, nor anything after the answer or the terms
+			case cmd.Kind == decide.Send: // not allowed beside those in flight, after the final answer, or by the terms
 				if len(inFlight) == 0 && final == nil {
 					final = active.exhaustedAnswer()
 				}
 				r.dispatch(active.outcomeEvent(&attempt{number: active.attempts, worker: cmd.Server}, decide.Moot, final != nil))
 				active.attempts++
-			case cmd.Kind == decide.Cancel && (clientLeft == nil || active.allowsAttempt(0) && !active.policy.Once): // else it is called off to be sent again
+			case cmd.Kind == decide.Cancel &&
+				(clientLeft == nil || active.allowsAttempt(0) && !active.policy.Once): // otherwise it would be cancelled only to be sent again
 				for _, a := range inFlight {
 					if a.number == cmd.Attempt {
 						a.Abort()
@@ -140,14 +142,14 @@
 				}
 			}
 			if final != nil {
-				abortAll(inFlight) // the answer is chosen; what is out is called off, and its outcome told below
+				abortAll(inFlight) // the balancer is notified below, when the results arrive
 			}
 
 		case result := <-results:
 			index := slices.IndexFunc(inFlight, func(a *attempt) bool { return a.number == result.Tag })
 			a := inFlight[index]
 			inFlight = slices.Delete(inFlight, index, index+1)
-			if clientLeft != nil && active.clientLeft.Load() { // seen right before the first byte
+			if clientLeft != nil && active.clientLeft.Load() { // noticed right before the first byte of an attempt
 				handleClientLeft()
 			}
 			a.newConnection, a.complete = result.Sent && !result.Kept, result.Err == nil
@@ -163,13 +165,13 @@
 				abortAll(inFlight)
 			case result.Rest != nil:
 				result.Rest.Close(false)
-			case final == nil && call.Upload != nil && call.Upload.Begun(): // it cannot be sent again
+			case final == nil && call.Upload != nil && call.Upload.Begun(): // part of the message was passed on and cannot be sent again
 				final = &protocol.Answer{Verdict: protocol.Failed}
 				if status == decide.Full || status == decide.ConnectFailed || status == decide.Moot {
 					final.Verdict = protocol.Refused
 				}
 			}
-			r.dispatch(active.outcomeEvent(a, status, final != nil || clientLeft == nil)) // the module chooses what comes next
+			r.dispatch(active.outcomeEvent(a, status, final != nil || clientLeft == nil)) // the balancer decides what comes next
 
 		case <-timeout.C:
 			now := time.Now()
@@ -187,7 +189,7 @@
 		case <-uploadComplete:
 			uploadComplete = nil
 			for _, a := range inFlight {
-				a.startedAt = time.Now() // what comes from now on is the worker's time
+				a.startedAt = time.Now() // latency counts from the end of the upload
 			}
 
 		case <-clientLeft:
@@ -209,21 +211,21 @@
 		}
 		if len(inFlight) == 0 && (final != nil || clientLeft == nil) {
 			if final == nil {
-				return active.finish(protocol.Answer{}, false) // for nobody
+				return active.finish(protocol.Answer{}, false) // the client has left: nobody receives it
 			}
 			return active.finish(*final, true)
 		}
 	}
 }
 
-// giveUp ends a call without asking the module, which is told that it is over.
+// giveUp ends a call without a decision of the balancer, which is notified that the call is over.
 func (r *Router) giveUp(active *activeCall, inFlight []*attempt) *protocol.Answer {
 	r.dispatch(decide.Event{Kind: decide.Left, ID: active.id})
 	abortAll(inFlight)
 	return &protocol.Answer{Verdict: protocol.Expired}
 }
 
-// extend moves the end of a call whose client still sends.
+// extendDeadline moves the deadline of a call while its client is still sending.
 func (c *activeCall) extendDeadline(inFlight []*attempt) {
 	if c.call.Upload == nil {
 		return
@@ -234,14 +236,14 @@
 	}
 }
 
-// abort calls attempts off. Their connections are closed when it returns, and their results are there.
+// abortAll aborts attempts. When it returns, their connections are closed and their results available.
 func abortAll(inFlight []*attempt) {
 	for _, a := range inFlight {
 		a.Abort()
 	}
 }
 
-// earliest is the next end of an attempt's time, the zero time where none is out.
+// earliestDeadline returns the earliest deadline of attempts that have not timed out, or the zero time if there are none.
 func earliestDeadline(inFlight []*attempt) (deadline time.Time) {
 	for _, a := range inFlight {
 		if !a.timedOut && (deadline.IsZero() || a.deadline.Before(deadline)) {
@@ -251,7 +253,7 @@
 	return deadline
 }
 
-// enter makes a call known and tells the module of it.
+// addCall registers a call and dispatches it to the balancer.
 func (r *Router) addCall(active *activeCall) {
 	call := active.call
 	active.deadline = time.Now().Add(call.Budget)
@@ -260,22 +262,25 @@
 	r.lastCall++
 	active.id = r.lastCall
 	r.calls[active.id] = active
-	actions := r.handle(decide.Event{Kind: decide.Request, ID: active.id, Class: call.Class, Tenant: call.Tenant, Long: call.Upload != nil,
-		Budget: call.Budget, Repeat: call.Repeat, Write: call.Write})
+	actions := r.handle(decide.Event{Kind: decide.Request, ID: active.id, Class: call.Class, Tenant: call.Tenant,
+		Long: call.Upload != nil, Budget: call.Budget, Repeat: call.Repeat, Write: call.Write})
 	r.mu.Unlock()
 	r.execute(actions)
 }
 
+// removeCall forgets a call that has ended.
 func (r *Router) removeCall(active *activeCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.calls, active.id)
 }
 
-// startAttempt sends a request to the backend that the module chose. Its result goes to results, under its number.
+// startAttempt sends a call to the worker that the balancer chose. Its result arrives on results, tagged with the
+// attempt's number.
 func (r *Router) startAttempt(active *activeCall, cmd command, results chan transport.Result) *attempt {
 	now := time.Now()
-	a := &attempt{number: active.attempts, worker: cmd.Server, startedAt: now, deadline: active.deadline, router: r, activeCall: active, command: cmd}
+	a := &attempt{number: active.attempts, worker: cmd.Server, startedAt: now, deadline: active.deadline,
+		router: r, activeCall: active, command: cmd}
 	if timeout := now.Add(cmd.Timeout); cmd.Timeout != 0 && timeout.Before(active.deadline) {
 		a.deadline = timeout
 	}
@@ -290,7 +295,7 @@
 	return a
 }
 
-// present tells, right before an attempt's first byte, that the client has not left.
+// clientPresent reports whether the client is still connected. It is checked right before an attempt's first byte.
 func (c *activeCall) clientPresent() bool {
 	if !c.clientLeft.Load() && c.call.Present != nil && !c.call.Present() {
 		c.clientLeft.Store(true)
@@ -298,21 +303,21 @@
 	return !c.clientLeft.Load()
 }
 
-// outcome is the module's event for how an attempt ended.
+// outcomeEvent returns the balancer's event for how an attempt ended.
 func (c *activeCall) outcomeEvent(a *attempt, status decide.Status, done bool) decide.Event {
 	event := decide.Event{Kind: decide.Outcome, ID: c.id, Attempt: a.number, Server: a.worker, Status: status, Done: done}
 	if a.Reply != nil && status != decide.Moot {
 		event.Latency = time.Since(a.startedAt)
 	}
-	if a.complete { // of one that was called off, its connection's goroutine may still be reading the answer
+	if a.complete { // the connection's goroutine may still be reading the answer of an aborted attempt
 		event.Load = a.Reply.Load
 	}
 	event.Fresh = a.newConnection
 	return event
 }
 
-// status says how an attempt ended. One that was dropped because its client had left says nothing of the
-// worker, and must not be held against it.
+// status returns how an attempt ended. An attempt dropped because its client left says nothing about the worker and must
+// not count against it.
 func (a *attempt) status(result transport.Result, clientLeft bool) decide.Status {
 	if clientLeft && !result.Sent {
 		return decide.Moot
@@ -329,8 +334,8 @@
 	return decide.Errored
 }
 
-// failureStatus is the outcome of an exchange without an answer. Only one whose last byte never went out is
-// reported as never run: everything else may have run, and must not go out again unless its class allows.
+// failureStatus returns the status of an exchange without an answer. Only an exchange whose last byte was not sent is
+// reported as never executed: every other may have been executed and must not be repeated unless its class allows it.
 func failureStatus(result transport.Result, timedOut bool) decide.Status {
 	switch {
 	case errors.Is(result.Err, transport.ErrAborted) && result.Sent && timedOut:
@@ -338,13 +343,13 @@
 	case errors.Is(result.Err, transport.ErrAborted) && result.Sent:
 		return decide.Cancelled
 	case result.Sent && (protocol.IsMalformed(result.Err) || errors.Is(result.Err, transport.ErrEarly)):
-		return decide.Spoilt // the worker did answer
+		return decide.Spoilt // the worker did answer, but not validly
 	case !result.Sent && errors.Is(result.Err, transport.ErrLocal):
-		return decide.Moot // never ran, and says nothing of the worker
+		return decide.Moot // not executed, and says nothing about the worker
 	case errors.Is(result.Err, transport.ErrAborted), errors.Is(result.Err, transport.ErrCrowded), errors.Is(result.Err, transport.ErrSource),
 		errors.Is(result.Err, transport.ErrRevoked), errors.Is(result.Err, transport.ErrEarly):
-		return decide.Moot // says nothing of the worker
-	case result.Sent && result.Kept: // its worker may have closed it meanwhile
+		return decide.Moot // says nothing about the worker
+	case result.Sent && result.Kept: // the worker may have closed the kept-alive connection meanwhile
 		return decide.Stale
 	case result.Sent:
 		return decide.Reset
--- a/internal/routing/gate.go
+++ b/internal/routing/gate.go
@@ -7,39 +7,40 @@
 	"burlpass/internal/protocol"
 )
 
-// Gate says what rules hold for calls. It is asked from many goroutines, and must not wait.
+// Gate sets the terms of calls. It is called from many goroutines and must not block.
 type Gate interface {
-	// Enter is asked once about each call, before the module hears of it. The terms hold until the call's end, whatever
-	// changes meanwhile.
+	// Enter is called once for each call, before the balancer. The terms hold until the call's end, even if the rules
+	// change in the meantime.
 	Enter(call *protocol.Call) Terms
 }
 
-// Terms are what holds for one call. They only ever make stricter what its class and the settings allow; the zero value says nothing.
+// Terms restrict one call further than its class and the settings do; they never allow more. The zero value restricts
+// nothing.
 type Terms struct {
-	// Refusal is the call's answer, where it is to have one at once: it reaches neither the module nor a worker. A Wait in it is
-	// left out or held down as the settings say. Its Header stands, that below is not added.
+	// Refusal, if not nil, is the immediate answer to the call, which then reaches neither the balancer nor a worker. Its
+	// Wait is dropped or capped as the settings say. The Header below is not added to it.
 	Refusal *protocol.Answer
 
-	Attempts int           // attempts at most; 0: nothing is said
-	Once     bool          // no further attempt unless it is sure that none before it ran
-	Deadline time.Duration // for the whole call; 0: nothing is said
-	Header   string        // whole header lines for the final answer, each with its line's end; the gate has checked them
+	Attempts int           // maximum number of attempts; 0 for no limit
+	Once     bool          // no further attempt unless certainly none before it was executed
+	Deadline time.Duration // for the whole call; 0 for no limit
+	Header   string        // complete header lines for the final answer, each with its line ending; validated by the gate
 
-	// Written is told where the final answer, which has Header, has been written whole to the client; nil for nobody.
+	// Written is called when the final answer with Header has been written to the client in full; may be nil.
 	Written func(protocol.Verdict)
 
-	// Ended is told once how the call has ended, on its goroutine; nil for nobody. It is not told of a refusal.
+	// Ended is called once when the call has ended, on the call's goroutine; may be nil. It is not called for a refusal.
 	Ended func(End)
 }
 
-// End is how a call has ended.
+// End describes how a call ended.
 type End struct {
-	Verdict protocol.Verdict // Failed where the client has left
+	Verdict protocol.Verdict // Failed if the client left
 	Left    bool             // the client left before there was an answer
-	Ran     bool             // it may have run at a worker
+	Ran     bool             // a worker may have executed it
 }
 
-// admit asks the gate. The answer is the call's where there is one.
+// admit asks the gate for the terms of a call. An answer that is not nil is the call's final one.
 func (r *Router) admit(call *protocol.Call) (Terms, *protocol.Answer) {
 	policy := r.Gate.Enter(call)
 	if answer := policy.Refusal; answer != nil {
@@ -52,14 +53,14 @@
 	return policy, nil
 }
 
-// shorten holds the call's time down to the terms'.
+// applyDeadline shortens the call's time to the deadline of its terms.
 func (c *activeCall) applyDeadline() {
 	if deadline := c.policy.Deadline; deadline > 0 && deadline < c.call.Budget {
 		c.budgetReduction, c.call.Budget = c.call.Budget-deadline, deadline
 	}
 }
 
-// again tells whether the terms allow a further attempt beside those that are out.
+// allowsAttempt reports whether the terms allow a further attempt beside those in flight.
 func (c *activeCall) allowsAttempt(inFlight int) bool {
 	if c.policy.Attempts > 0 && c.attempts >= c.policy.Attempts {
 		return false
@@ -67,7 +68,7 @@
 	return !c.policy.Once || inFlight == 0 && !c.mayHaveRun
 }
 
-// exhausted is the answer of a call that the terms let go out no more, while nothing of it is out.
+// exhaustedAnswer returns the answer of a call without attempts in flight whose terms allow no further attempt.
 func (c *activeCall) exhaustedAnswer() *protocol.Answer {
 	if c.mayHaveRun {
 		return &protocol.Answer{Verdict: protocol.Failed}
@@ -75,12 +76,12 @@
 	return &protocol.Answer{Verdict: protocol.Refused}
 }
 
-// mayHaveRun tells what an attempt's outcome leaves open.
+// mayHaveRun reports whether a worker may have executed an attempt that ended with this status.
 func mayHaveRun(status decide.Status) bool {
 	return status != decide.Full && status != decide.ConnectFailed && status != decide.Moot
 }
 
-// close gives the final answer what the terms add to it, and tells the gate.
+// finish adds the header and callback of the terms to the final answer and notifies the gate.
 func (c *activeCall) finish(answer protocol.Answer, answered bool) protocol.Answer {
 	answer.Header += c.policy.Header
 	if onWritten := c.policy.Written; onWritten != nil {
--- a/internal/routing/guard.go
+++ b/internal/routing/guard.go
@@ -8,27 +8,29 @@
 	"burlpass/internal/transport"
 )
 
-// The one place where an attempt is let go. The module chooses by the same rules; what it orders is checked here once more,
-// against what this sidecar has seen itself, when it is ordered and right before the first byte.
+// This file is the only place that lets an attempt start. The balancer chooses by the same rules. Each of its commands is
+// checked here again against what this sidecar has observed: when it is issued, and right before the first byte.
 
-// toldSlack is by how much the time that a backend is told may be over what its client has left (the operators' terms).
+// deadlineToldSlack is how much the remaining time sent to a worker may exceed what the client has left. The operators
+// require this bound.
 const deadlineToldSlack = 150 * time.Millisecond
 
-// firstRun is the earliest attempt of a request that may have run: what decides where and until when it may be repeated.
+// firstRun is the earliest attempt of a call that a worker may have executed. It decides where and until when the call may
+// be repeated.
 type firstRun struct {
-	startedAt  time.Time // the zero time where none may have run
+	startedAt  time.Time // zero if no attempt may have been executed
 	zone, cell int
 }
 
-// note takes in an attempt that may have run.
+// record takes an attempt that may have been executed into account.
 func (f *firstRun) record(a *attempt) {
 	if f.startedAt.IsZero() || a.startedAt.Before(f.startedAt) {
 		*f = firstRun{a.startedAt, a.command.zone, a.command.cell}
 	}
 }
 
-// mayRepeat tells whether a further attempt is lawful for a request of a class: anywhere while nothing may have run, else as
-// the class allows.
+// mayRepeat reports whether a call of a class may have a further attempt: at any worker while no attempt may have been
+// executed, otherwise as the class allows.
 func (f *firstRun) mayRepeat(class *decide.Class, cmd command, now time.Time) bool {
 	switch {
 	case f.startedAt.IsZero() || class.Effect == decide.Safe:
@@ -43,7 +45,7 @@
 	return true
 }
 
-// lawful tells whether the rules on repeats allow what the module has ordered. What is out already may have run.
+// allowsRepeat reports whether the rules on repeats allow a command to send. Attempts in flight count as executed.
 func (r *Router) allowsRepeat(active *activeCall, inFlight []*attempt, cmd command) bool {
 	first := active.firstRun
 	for _, a := range inFlight {
@@ -56,14 +58,14 @@
 	return false
 }
 
-// Ready tells, right before the attempt's first byte, that it may still go out: its client's time is not over, its backend is
-// listed up and is the process that was chosen, it is not too late for a repeat, and its client is there.
+// Ready reports, right before the attempt's first byte, whether it may still be sent: the deadline has not passed, the worker
+// is listed up and is the process that was chosen, a repeat is not too late, and the client is still connected.
 func (a *attempt) Ready() bool {
-	streaming := a.activeCall.call.Upload != nil // its end moves on while it comes
+	streaming := a.activeCall.call.Upload != nil // its deadline moves while the client is sending
 	return (streaming || time.Now().Before(a.initialDeadline)) && a.router.mayStart(a.command) && a.activeCall.clientPresent()
 }
 
-// Began checks an attempt whose first byte went out so long after Ready. What Ready saw then may not hold any more.
+// Began checks the rules again for an attempt whose first byte was sent this long after Ready, and counts violations.
 func (a *attempt) Began(delay time.Duration) {
 	r, active := a.router, a.activeCall
 	attributes := []any{"attempt", a.number, "after", delay}
@@ -84,16 +86,16 @@
 	}
 }
 
-// probeGuard lets a probe go out while its backend is the one that was chosen.
+// probeGuard allows a probe to be sent while its worker is the process that was chosen.
 type probeGuard struct {
 	router *Router
 	worker *worker
 }
 
-// Ready tells that the backend is listed up, at the same address and with the same start.
+// Ready reports whether the worker is listed up with the same address and start time.
 func (g probeGuard) Ready() bool { return g.router.isCurrent(g.worker) }
 
-// Began is of no interest: a probe has no client, and a late one does no harm.
+// Began does nothing: a probe has no client, and a late one does no harm.
 func (probeGuard) Began(time.Duration) {}
 
 var _ transport.Guard = (*attempt)(nil)
