--- a/internal/routing/feed.go
+++ b/internal/routing/feed.go
@@ -8,24 +8,24 @@
 	"burlpass/internal/protocol"
 )
 
-// Where lists are pushed, the registry's address belongs to an agent beside the sidecar. What the agent has been sent
-// counts as told to the sidecar whether it has asked or not, so a watch is kept for as long as the router lives, and
-// nobody has to order it. The agent answers at once and at no cost. One that does not answer is silent, and nobody can
-// know whether it will answer the calls that wait or only new ones once it speaks again, nor how soon news must be
-// heeded then: so further calls are made beside the first, and the first answer to any of them counts.
+// Where the registry pushes lists, its address is that of an agent beside the sidecar. The sidecar is held to know what the
+// agent has been sent, whether it has asked or not, so the router watches the agent for as long as it runs, without a
+// command of the balancer. The agent answers at once and at no cost. If it stops responding, it is unknown whether it will
+// later answer the pending exchanges or only new ones, and how soon a change must then be acted on. The router therefore
+// sends hedged exchanges beside the first and uses the first answer to any of them.
 const (
-	agentWatchWait      = 250 * time.Millisecond // of one watch call
-	agentHedgeDelay     = 100 * time.Millisecond // past it another call is made beside it
-	agentMinInterval    = 20 * time.Millisecond  // least time between an answer and the next call
-	agentRetryInterval  = 100 * time.Millisecond // least time between two calls without an answer between
-	agentCallGrace      = 2 * time.Second        // that the first call may take beyond its wait
-	agentHedgeGrace     = 400 * time.Millisecond // and each one beside it
-	agentMaxHedges      = 4                      // out together beside the first
-	agentSilenceWarning = time.Second            // without an answer for that long, and for twice as long each time, it is logged
+	agentWatchWait      = 250 * time.Millisecond // wait of one watch
+	agentHedgeDelay     = 100 * time.Millisecond // delay beyond that wait before the first hedged exchange
+	agentMinInterval    = 20 * time.Millisecond  // minimum time between an answer and the next exchange
+	agentRetryInterval  = 100 * time.Millisecond // minimum time between two exchanges without an answer in between
+	agentCallGrace      = 2 * time.Second        // time beyond its wait that the first exchange may take
+	agentHedgeGrace     = 400 * time.Millisecond // time beyond its wait that a hedged exchange may take
+	agentMaxHedges      = 4                      // maximum number of hedged exchanges in flight
+	agentSilenceWarning = time.Second            // time without an answer before the first warning; doubles with each warning
 )
 
-// feed follows the agent until the router's end. Each watch begins with the whole list, whatever its generation: an
-// agent that has been away may have begun to count anew.
+// followAgent watches the agent until the router ends. Each watch begins with a full list, whatever its generation, because
+// an agent that was unavailable may have restarted its generation numbers.
 func (r *Router) followAgent() {
 	for r.ctx.Err() == nil {
 		r.mu.Lock()
@@ -34,13 +34,13 @@
 		watcher := &agentWatcher{Router: r, sub: sub}
 		for full := true; sub.ctx.Err() == nil; {
 			response, ok := watcher.poll(full)
-			if !ok { // moved to another agent, or over
+			if !ok { // the registry has moved, or the router has ended
 				break
 			}
 			kind := decide.ListDelta
 			if response.full {
 				r.mu.Lock()
-				r.listFromOldRegistry = true // its count begins with this
+				r.listFromOldRegistry = true // this list sets the generation, even to an older one
 				r.mu.Unlock()
 				kind = decide.ListFull
 			}
@@ -48,21 +48,21 @@
 			outdated := !response.full && !response.list.Reset && response.list.Generation < r.generation
 			r.mu.Unlock()
 			r.applyList(sub.registrySource, response.list, kind)
-			full = outdated // it counts anew without a word: changes to a list that is not the one at hand
+			full = outdated // the generation has restarted without a reset: the delta does not apply to the current list
 			sleep(sub.ctx, agentMinInterval)
 		}
 		watcher.close()
 	}
 }
 
-// feeder is one watch on an agent.
+// agentWatcher is one watch on an agent.
 type agentWatcher struct {
 	*Router
 	sub  *subscription
-	idle []*protocol.Registry // whose connection may be there still
+	idle []*protocol.Registry // clients whose connection may still be open
 }
 
-// fed is how one call ended.
+// agentResponse is the result of one exchange with the agent.
 type agentResponse struct {
 	list     *protocol.List
 	err      error
@@ -70,8 +70,8 @@
 	registry *protocol.Registry
 }
 
-// ask asks until there is an answer: for the whole list, or for what is newer than the one at hand. It returns false
-// once the watch is over. When it returns no call is out.
+// poll asks until there is an answer: for the full list, or for what is newer than the current one. It returns false once
+// the watch is over. When it returns, no exchange is in flight.
 func (w *agentWatcher) poll(full bool) (agentResponse, bool) {
 	ctx, cancel := context.WithCancel(w.sub.ctx)
 	responses := make(chan agentResponse, agentMaxHedges+1)
@@ -105,7 +105,7 @@
 	hedge := time.NewTimer(agentWatchWait + agentHedgeDelay)
 	defer hedge.Stop()
 	warnAfter := agentSilenceWarning
-	var lastErr error // that a call ended with
+	var lastErr error // of the last failed exchange
 	for {
 		select {
 		case response := <-responses:
@@ -138,13 +138,14 @@
 	}
 }
 
+// close closes the idle connections.
 func (w *agentWatcher) close() {
 	for _, registry := range w.idle {
 		registry.Close()
 	}
 }
 
-// rest waits for a while, or until ctx is done.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -154,8 +155,8 @@
 	}
 }
 
-// ListAge is how long ago the registry last answered, with news or without. It grows while the registry is silent,
-// and to the length of one watch call (10 s where lists are asked for, 0.25 s where they are pushed) while all is well.
+// ListAge returns the time since the registry last answered, with changes or without. It grows while the registry does not
+// respond. In normal operation it reaches the wait of one watch: 10 s where lists are polled, 0.25 s where they are pushed.
 func (r *Router) ListAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -13,23 +13,24 @@
 	"burlpass/internal/transport"
 )
 
-// subscription is one watch on the registry. Its identity tells what it brings from what an ended one brings.
+// subscription is one watch on the registry. It is compared by pointer, so that an ended watch does not pass for the
+// current one.
 type subscription struct {
 	registrySource
-	fullListFirst bool // the list at hand is another registry's: the whole one comes first
-	catchUp       bool // a watch has fallen silent: what it has missed is asked for with hardly a wait
+	fullListFirst bool // the current list is another registry's, so that a full list is needed first
+	catchUp       bool // the previous watch timed out, so that the first one asks with a short wait for what that missed
 	ctx           context.Context
 	cancel        context.CancelFunc
 }
 
-// source is where a list comes from: the registry's address, and how often that has been moved.
+// registrySource identifies the origin of a list: the registry's address, and the number of moves before it.
 type registrySource struct {
 	addr  string
 	epoch int
 }
 
-// MoveRegistry turns to the registry at another address. What the old one still answers counts for nothing,
-// and its end is no failure; the module is told and asks for the new one's list.
+// MoveRegistry switches to the registry at another address. Late answers of the old registry are ignored, and ending its
+// watch is no failure. The balancer is notified and requests the new registry's list.
 func (r *Router) MoveRegistry(addr string) {
 	r.mu.Lock()
 	r.unsubscribe()
@@ -40,8 +41,8 @@
 	r.execute(actions)
 }
 
-// watch starts or ends the watch on the registry where the module asks for it. Where lists are pushed the watch is
-// the feed's, and lasts as long as the router.
+// setWatch starts or ends the watch on the registry as the balancer commands. Where lists are pushed, followAgent watches
+// for as long as the router runs.
 func (r *Router) setWatch(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// subscribe makes the subscription to the registry of now. It is called under the lock.
+// subscribe creates the subscription to the current registry. The caller holds r.mu.
 func (r *Router) subscribe() *subscription {
 	sub := &subscription{registrySource: r.registrySource, fullListFirst: r.listFromOldRegistry, catchUp: r.registrySilent}
 	sub.ctx, sub.cancel = context.WithCancel(r.ctx)
@@ -67,6 +68,7 @@
 	return sub
 }
 
+// unsubscribe ends the active watch, if any. The caller holds r.mu.
 func (r *Router) unsubscribe() {
 	if r.subscription != nil {
 		r.subscription.cancel()
@@ -74,12 +76,12 @@
 	}
 }
 
-// watchPace is the least time from one watch call to the next. A registry that answers at once, again and
-// again, is not flooded; the next call of a watch must come within 200 ms of the last answer.
+// minWatchInterval is the minimum time from one watch request to the next, so that a registry that always answers at once
+// is not flooded. It must stay below 200 ms, within which the next request has to follow an answer.
 const minWatchInterval = 100 * time.Millisecond
 
-// follow asks the registry again as soon as it has answered, which is what keeps the watch alive, until a call
-// fails. It returns that failure, and nil where the watch was ended from here.
+// runWatch asks the registry again as soon as it has answered, which keeps the watch alive, until an exchange fails. It
+// returns that error, or nil if this sidecar ended the watch.
 func (r *Router) runWatch(sub *subscription) error {
 	defer sub.cancel()
 	timeouts := newRegistryTimeouts(r.Decide.Safety.ToldWithin())
@@ -106,7 +108,7 @@
 		}
 		if err != nil {
 			r.mu.Lock()
-			current := r.subscription == sub // else ended by the module or by a move: no failure
+			current := r.subscription == sub // otherwise ended by the balancer or by a move, which is no failure
 			if current {
 				r.subscription = nil
 			}
@@ -122,12 +124,13 @@
 	}
 }
 
-// fetch asks for the whole list once.
+// fetchList asks for the full list once.
 func (r *Router) fetchList() {
 	r.mu.Lock()
 	sub := &subscription{registrySource: r.registrySource}
 	r.mu.Unlock()
-	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr, Grace: newRegistryTimeouts(r.Decide.Safety.ToldWithin()).fetchTimeout}
+	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr,
+		Grace: newRegistryTimeouts(r.Decide.Safety.ToldWithin()).fetchTimeout}
 	defer registry.Close()
 	list, err := registry.Fetch(r.ctx)
 	if err != nil {
@@ -137,9 +140,9 @@
 	r.applyList(sub.registrySource, list, decide.ListFull)
 }
 
-// listFailed tells the module of a call that failed, and whether it fell silent, which takes a call's whole time.
-func (r *Router) reportListFailure(sub *subscription, call string, err error) {
-	r.Log.Warn("registry_failed", "registry", sub.addr, "call", call, "err", err)
+// reportListFailure notifies the balancer of a failed exchange, and whether it timed out.
+func (r *Router) reportListFailure(sub *subscription, operation string, err error) {
+	r.Log.Warn("registry_failed", "registry", sub.addr, "call", operation, "err", err)
 	r.mu.Lock()
 	var actions []decide.Action
 	if sub.registrySource == r.registrySource {
@@ -154,28 +157,28 @@
 	r.execute(actions)
 }
 
-// isTimeout tells a call that found silence from one that was refused or broken off.
+// isTimeout distinguishes an exchange without an answer in time from one that was refused or cut off.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, context.DeadlineExceeded)
 }
 
-// learn takes in a list and tells the module: the cached one of the start, a whole one that was fetched, or
-// what a watch brought, which may be either. The address book changes under the same lock as the module, so
-// no choice is made between the two. A list of a registry that has been moved from counts for nothing.
+// applyList applies a list and notifies the balancer. The list is the cached one of the start, a full one from a fetch, or
+// the result of a watch, which may be full or a delta. The workers' addresses and the balancer change under the same lock,
+// so that no choice falls between the two. A list of an earlier registry is ignored.
 func (r *Router) applyList(from registrySource, list *protocol.List, kind decide.ListKind) {
 	r.mu.Lock()
 	if from != r.registrySource {
 		r.mu.Unlock()
 		return
 	}
-	outdated := list.Generation < r.generation && !r.listFromOldRegistry // another registry counts on its own
+	outdated := list.Generation < r.generation && !r.listFromOldRegistry // generations of different registries are not comparable
 	switch {
 	case outdated && (kind == decide.ListFull || kind == decide.ListDelta && !list.Reset):
-		// A slower call's answer: taking it in would bring back what has drained since. The module still
-		// hears that its call succeeded.
+		// The answer of a slower exchange: applying it would bring back workers that have drained since. The balancer
+		// is still notified that its request succeeded.
 		list, kind = &protocol.List{Generation: r.generation}, decide.ListDelta
-	case kind == decide.ListDelta && list.Reset: // also from a registry that began anew and counts from there
+	case kind == decide.ListDelta && list.Reset: // also from a registry that restarted its generation numbers
 		kind = decide.ListFull
 	}
 	r.generation = list.Generation
@@ -185,7 +188,7 @@
 	}
 	r.listFromOldRegistry = r.listFromOldRegistry && kind == decide.ListDelta
 	servers := make([]decide.Server, 0, len(list.Instances))
-	stalePeers := []transport.Peer{} // whose idle connections are of no more use
+	stalePeers := []transport.Peer{} // whose idle connections must be closed
 	listed := map[decide.ServerID]bool{}
 	for i := range list.Instances {
 		w, server := r.resolveInstance(&list.Instances[i], hadList)
@@ -222,8 +225,8 @@
 	r.execute(actions)
 }
 
-// describe gives an instance its stable number and the module's view of it. news tells that discovery has given a list
-// before, so that a start which that did not have is a recent one.
+// resolveInstance returns an instance's worker, with a stable ID, and the balancer's view of it. hadList is true if the
+// registry has sent a list before, so that a start missing from that list is a recent one. The caller holds r.mu.
 func (r *Router) resolveInstance(instance *protocol.Instance, hadList bool) (*worker, decide.Server) {
 	id, known := r.workerIDs[instance.ID]
 	if !known {
@@ -246,8 +249,9 @@
 		Zone: r.zoneNumber(instance.Zone, id), Kind: indexOrLen(r.Names.Kinds, instance.Kind), Nominal: instance.Weight,
 	}
 	state = r.Out.State(instance.ID, instance.Zone, state)
-	w := &worker{id: id, instanceID: instance.ID, zone: instance.Zone, peer: transport.Peer{Addr: instance.Addr}, state: state, startedMs: instance.StartedMs,
-		listed: listed}
+	w := &worker{id: id, instanceID: instance.ID, zone: instance.Zone, peer: transport.Peer{Addr: instance.Addr}, state: state,
+		startedMs: instance.StartedMs,
+		listed:    listed}
 	if previous := r.workers[id]; previous != nil && previous.peer.Addr == instance.Addr && previous.startedMs == instance.StartedMs {
 		w.peer.Life = previous.peer.Life
 	} else {
@@ -259,20 +263,20 @@
 	return w, effective
 }
 
-// forget drops a worker that is no longer listed. Should its instance come back, it is another worker: a table of
-// all that ever were would grow for as long as workers are replaced.
+// removeWorker removes a worker that is no longer listed. If its instance comes back, it gets a new ID: a table of all
+// earlier workers would grow for as long as workers are replaced.
 func (r *Router) removeWorker(w *worker) {
 	delete(r.workers, w.id)
 	delete(r.workerIDs, w.instanceID)
 }
 
-// mostStrange bounds the zones remembered that the settings do not name. Past it each backend of such a zone counts as a
-// zone of its own, which forbids a repeat elsewhere and allows none.
+// maxUnknownZones bounds the remembered zones that the settings do not name. Beyond it, each worker of such a zone counts as
+// a zone of its own, so that a call limited to its zone is never repeated at another worker there.
 const maxUnknownZones = 1 << 10
 
-// zone is the number of a zone: its place in the settings, or one past the last that belongs to this name alone. Two zones
-// that the settings do not name must not pass for one, or the repeat of a keyed request could leave its group. Where the
-// settings name no zones at all there is one. It is called under the lock.
+// zoneNumber returns the number of a zone: its position in the settings, or a number past the last position that is unique
+// to this name. Two zones that the settings do not name must differ, or a repeat of a keyed call could leave its group. If
+// the settings name no zones, there is only one. The caller holds r.mu.
 func (r *Router) zoneNumber(name string, id decide.ServerID) int {
 	configured := len(r.Names.Zones)
 	index := indexOrLen(r.Names.Zones, name)
@@ -291,7 +295,7 @@
 	return configured + number
 }
 
-// position is a name's place in the settings; an unknown one gets the place after the last.
+// indexOrLen returns the position of a name in the settings, or the position after the last for an unknown name.
 func indexOrLen(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/internal/routing/times.go
+++ b/internal/routing/times.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// Shares of the time after which a change counts as told, however the calls for it went. Discovery may have a change right
-// after a watch fell silent, after a call that failed, or in the middle of either; with the module's waits after calls that
-// failed (decide: watchFirst, watchRetry) every order of one silence and one further failure ends within that time, where
-// discovery then answers at once:
+// Shares of the time within which the sidecar must learn of a change (decide.Safety.ToldWithin), whatever happens to its
+// exchanges with the registry. The registry may have a change right after a watch stopped responding, after an exchange that
+// failed, or in the middle of either. Together with the balancer's delays after failed exchanges (decide: watchFirst,
+// watchRetry), every sequence of one timeout and one further failure ends within that time if the registry then answers at
+// once:
 //
-//	a watch silent, the call after it silent:   watch + late + quick + plain
-//	a watch silent, the call after it refused:  watch + late + quick + plain + watchFirst
-//	a call refused, the next one refused:       2 x watchRetry + quick + plain
-//	moved: silent, then refused:                2 x plain + watchFirst
+//	watch times out, next exchange times out:       maxWatchWait + watchGrace + catchUp + fetchTimeout
+//	watch times out, next exchange is refused:      maxWatchWait + watchGrace + catchUp + fetchTimeout + watchFirst
+//	exchange is refused, next exchange is refused:  2 x watchRetry + catchUp + fetchTimeout
+//	registry moved: a timeout, then a refusal:      2 x fetchTimeout + watchFirst
 //
-// A plain call outlasts the time for which a discovery that takes calls in turn lets one wait (2 s are known), and then
-// refuses it. Giving it up before and asking again would fill that turn with calls that nobody waits for, and no call would
-// be answered any more.
+// A registry that serves one exchange at a time lets an exchange wait in its queue (up to 2 s have been seen) and then
+// refuses it. fetchTimeout is longer than that wait: giving up earlier and asking again would fill the queue with exchanges
+// that nobody waits for, and none would be answered any more.
 const (
-	watchWaitShare    = 0.33 // the longest wait of a watch
-	watchGraceShare   = 0.12 // by which its answer may be late: past it the watch is broken
+	watchWaitShare    = 0.33 // longest wait of a watch
+	watchGraceShare   = 0.12 // delay of a watch's answer beyond its wait after which the watch has failed
 	catchUpWaitShare  = 0.015
-	fetchTimeoutShare = 0.37 // of a call that need not wait
+	fetchTimeoutShare = 0.37 // for an exchange that is answered without waiting for a change
 
-	// watchSpread is the part of a watch's wait by which waits differ: after a change that all sidecars have heard together
-	// they would else ask together for ever.
+	// watchJitter is the share of a watch's wait that is random. Without it, sidecars that learned of a change at the same
+	// time would go on asking at the same time.
 	watchJitter = 0.2
 )
 
-// times are the bounds of calls to discovery.
+// registryTimeouts bounds the exchanges with the registry.
 type registryTimeouts struct {
-	maxWatchWait time.Duration // the longest wait of a watch
-	watchGrace   time.Duration // by which its answer may be late
-	catchUp      time.Duration // the wait of the call that makes up for a silent watch
-	fetchTimeout time.Duration // in which a call has to be answered that need not wait
+	maxWatchWait time.Duration // longest wait of a watch
+	watchGrace   time.Duration // delay of a watch's answer beyond its wait
+	catchUp      time.Duration // wait of the watch that follows a timed-out one
+	fetchTimeout time.Duration // for an exchange that is answered without waiting for a change
 }
 
-// timesWithin divides the time within which a change has to be heard of.
+// newRegistryTimeouts divides the time within which the sidecar must learn of a change.
 func newRegistryTimeouts(learnWithin time.Duration) registryTimeouts {
 	share := func(fraction float64) time.Duration { return time.Duration(fraction * float64(learnWithin)) }
-	return registryTimeouts{maxWatchWait: share(watchWaitShare), watchGrace: share(watchGraceShare), catchUp: share(catchUpWaitShare), fetchTimeout: share(fetchTimeoutShare)}
+	return registryTimeouts{maxWatchWait: share(watchWaitShare), watchGrace: share(watchGraceShare),
+		catchUp: share(catchUpWaitShare), fetchTimeout: share(fetchTimeoutShare)}
 }
 
-// wait is the wait of one watch; at, from 0 to 1, is where in the spread.
+// watchWait returns the wait of one watch. position, from 0 to 1, selects a point in the jitter range.
 func (t registryTimeouts) watchWait(position float64) time.Duration {
 	return time.Duration((1 - watchJitter*position) * float64(t.maxWatchWait))
 }
