--- a/internal/routing/age_test.go
+++ b/internal/routing/age_test.go
@@ -8,15 +8,15 @@
 	"burlpass/internal/protocol"
 )
 
-// A backend's age errs to the cold side where the clocks disagree, whenever they were stepped, and is the same however often
-// it is listed.
+// If the clocks disagree, however they were stepped, a worker must be taken for younger rather than older than it is: one
+// taken for older is overloaded. Its start time must not change when it is listed again.
 func TestStartTimeWithClockSkew(t *testing.T) {
 	const hour = time.Hour
 	for name, test := range map[string]struct {
-		offset  time.Duration // of discovery's clock against ours
-		trueAge time.Duration // in truth, when it is told
-		cached  bool          // it stands on the list of the start
-		minAge  time.Duration // what the age is held to be
+		offset  time.Duration // of the registry's clock relative to ours
+		trueAge time.Duration // when the registry reports the start
+		cached  bool          // the worker is on the cached list of the start
+		minAge  time.Duration // bounds of the assumed age
 		maxAge  time.Duration
 	}{
 		"clocks agree":                       {0, time.Second, false, time.Second, time.Second},
@@ -34,7 +34,7 @@
 			if test.cached {
 				kind = decide.ListCached
 			} else {
-				s.applyList(s.registrySource, s.list(2, s.instance(0)), decide.ListFull) // discovery has answered once
+				s.applyList(s.registrySource, s.list(2, s.instance(0)), decide.ListFull) // the registry has answered once
 			}
 			appliedAt := s.now()
 			apply := func(generation uint64, reset bool, instances ...protocol.Instance) {
@@ -44,23 +44,23 @@
 				return s.findWorker(s.workerIDs[instance.ID]).listed.Started
 			}
 			apply(3, false, instance)
-			const slack = 100 * time.Millisecond // the machine's own
+			const slack = 100 * time.Millisecond // for delays of the test machine
 			first := startTime()
 			if age := appliedAt - first; age < test.minAge-slack || age > test.maxAge+slack {
-				t.Errorf("held to be %v old, %v to %v expected", age, test.minAge, test.maxAge)
+				t.Errorf("assumed age is %v, want %v to %v", age, test.minAge, test.maxAge)
 			}
 			apply(4, false, instance)
-			apply(5, true, s.instance(0)) // left out
+			apply(5, true, s.instance(0)) // missing from the list
 			apply(6, true, s.instance(0), instance)
 			if startTime() != first {
-				t.Errorf("its start has moved by %v", startTime()-first)
+				t.Errorf("start time moved by %v", startTime()-first)
 			}
 			instance.StartedMs += 50
 			kind = decide.ListDelta
 			s.receivedList = true
 			apply(7, false, instance)
 			if age := s.now() - startTime(); age < -slack || age > maxNewStartAge+slack {
-				t.Errorf("after a restart it is held to be %v old", age)
+				t.Errorf("assumed age after a restart is %v", age)
 			}
 		})
 	}
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -346,8 +346,8 @@
 		return decide.Spoilt // the worker did answer, but not validly
 	case !result.Sent && errors.Is(result.Err, transport.ErrLocal):
 		return decide.Moot // not executed, and says nothing about the worker
-	case errors.Is(result.Err, transport.ErrAborted), errors.Is(result.Err, transport.ErrCrowded), errors.Is(result.Err, transport.ErrSource),
-		errors.Is(result.Err, transport.ErrRevoked), errors.Is(result.Err, transport.ErrEarly):
+	case errors.Is(result.Err, transport.ErrAborted), errors.Is(result.Err, transport.ErrCrowded),
+		errors.Is(result.Err, transport.ErrSource), errors.Is(result.Err, transport.ErrRevoked), errors.Is(result.Err, transport.ErrEarly):
 		return decide.Moot // says nothing about the worker
 	case result.Sent && result.Kept: // the worker may have closed the kept-alive connection meanwhile
 		return decide.Stale
--- a/internal/routing/concurrent_attempts_test.go
+++ b/internal/routing/concurrent_attempts_test.go
@@ -15,7 +15,7 @@
 	"burlpass/internal/transport"
 )
 
-// gate is a network on which a connection to an address is there only once somebody opens the address.
+// gatedNetwork is a network on which dialing a gated address blocks until its gate is opened.
 type gatedNetwork struct {
 	transport.System
 	mu    sync.Mutex
@@ -23,6 +23,7 @@
 	dials chan string
 }
 
+// Dial waits for the gate of an address, if it has one, and connects.
 func (g *gatedNetwork) Dial(ctx context.Context, addr string) (transport.Socket, error) {
 	g.mu.Lock()
 	opened := g.gates[addr]
@@ -38,22 +39,24 @@
 	return g.System.Dial(ctx, addr)
 }
 
-// plain is a message of the network's simplest form.
+// plainMessage is a minimal HTTP request.
 type plainMessage struct{}
 
+// Rest returns nil: the message has no body.
 func (plainMessage) Rest() func(transport.Write) error { return nil }
 
+// Encode returns the head of a GET request.
 func (plainMessage) Encode(worker string, _ time.Duration) [][]byte {
 	return [][]byte{[]byte("GET /x HTTP/1.1\r\nHost: " + worker + "\r\n\r\n")}
 }
 
-// A second copy that still waits for its connection: what happens to its worker, to the first copy or to the client
-// meanwhile decides whether it goes out, and nothing of it does otherwise.
+// A second attempt that is still dialing must be sent, or not, according to what happens in the meantime to its worker, to
+// the first attempt or to the client. If it must not, no byte of it may be sent.
 func TestSecondAttemptWhileDialing(t *testing.T) {
 	type fixture struct {
 		router     *Router
 		clientLeft chan struct{}
-		first      net.Conn // the first copy's
+		first      net.Conn // connection of the first attempt
 	}
 	list := func(generation uint64, second protocol.Lifecycle, addrs ...string) *protocol.List {
 		return &protocol.List{Generation: generation, Reset: true, Instances: []protocol.Instance{
@@ -62,7 +65,7 @@
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
 	for name, test := range map[string]struct {
 		change     func(f fixture, addrs ...string)
-		secondSent bool // the second copy goes out
+		secondSent bool // the second attempt is sent
 		want       string
 	}{
 		"drained": {func(f fixture, addrs ...string) {
@@ -73,11 +76,11 @@
 			l.Instances[1].StartedMs = 9
 			f.router.applyList(f.router.registrySource, l, decide.ListFull)
 		}, false, "one"},
-		"first copy's worker gone": {func(f fixture, _ ...string) { f.first.Close() }, true, "two"},
-		"first copy answers":       {func(f fixture, _ ...string) { io.WriteString(f.first, answer+"one") }, false, "one"},
-		"client leaves":            {func(f fixture, _ ...string) { close(f.clientLeft) }, false, ""},
-		"nothing":                  {func(fixture, ...string) {}, true, "two"},
-		"first copy's worker is drained": {func(f fixture, addrs ...string) {
+		"first attempt's worker gone": {func(f fixture, _ ...string) { f.first.Close() }, true, "two"},
+		"first attempt answers":       {func(f fixture, _ ...string) { io.WriteString(f.first, answer+"one") }, false, "one"},
+		"client leaves":               {func(f fixture, _ ...string) { close(f.clientLeft) }, false, ""},
+		"no change":                   {func(fixture, ...string) {}, true, "two"},
+		"first attempt's worker is drained": {func(f fixture, addrs ...string) {
 			l := list(2, protocol.Up, addrs...)
 			l.Instances[0].Lifecycle = protocol.LifecycleDraining
 			f.router.applyList(f.router.registrySource, l, decide.ListFull)
@@ -113,23 +116,23 @@
 				&protocol.List{Generation: 1, Reset: true, Instances: []protocol.Instance{{ID: "one", Addr: addrs[0], Lifecycle: protocol.Up}}})
 			f := fixture{router: router, clientLeft: make(chan struct{})}
 			answers := make(chan protocol.Answer, 1)
-			evidence := make(chan struct{}) // another call out at that worker: one alone would be none against it
+			evidence := make(chan struct{}) // a single call in flight would be no evidence against its worker
 			defer close(evidence)
 			go router.Serve(&protocol.Call{Class: 1, Budget: 10 * time.Second, Message: plainMessage{}, Left: evidence})
 			receive(t, accepted[0])
 			go func() {
 				answers <- router.Serve(&protocol.Call{Budget: 10 * time.Second, Message: plainMessage{}, Left: f.clientLeft})
 			}()
-			f.first = receive(t, accepted[0]) // the only worker listed yet
+			f.first = receive(t, accepted[0]) // the only worker listed so far
 			network.mu.Lock()
 			network.gates[addrs[1]] = make(chan struct{})
 			network.mu.Unlock()
 			router.applyList(router.registrySource, list(2, protocol.Up, addrs...), decide.ListFull)
-			for receive(t, network.dials) != addrs[1] { // until the second copy is being dialled
+			for receive(t, network.dials) != addrs[1] { // until the second attempt is dialing
 			}
 			test.change(f, addrs...)
-			if test.want == "one" || test.want == "" { // settled by that alone, or once the first copy answers
-				if name != "first copy answers" && test.want != "" {
+			if test.want == "one" || test.want == "" { // decided by the change alone, or once the first attempt is answered
+				if name != "first attempt answers" && test.want != "" {
 					close(network.gates[addrs[1]])
 					expectNoSecondAttempt(t, receive(t, accepted[1]))
 					io.WriteString(f.first, answer+"one")
@@ -138,7 +141,7 @@
 				close(network.gates[addrs[1]])
 				second := receive(t, accepted[1])
 				if got := readRequest(second); (got != "") != test.secondSent {
-					t.Fatalf("the second copy's worker got %q", got)
+					t.Fatalf("the second attempt's worker got %q", got)
 				}
 				io.WriteString(second, answer+"two")
 			}
@@ -149,30 +152,30 @@
 			if got != test.want {
 				t.Errorf("answered %q, want %q", got, test.want)
 			}
-			if !test.secondSent && (name == "first copy answers" || test.want == "") {
+			if !test.secondSent && (name == "first attempt answers" || test.want == "") {
 				select {
 				case c := <-accepted[1]:
 					expectNoSecondAttempt(t, c)
-				default: // it never came up
+				default: // the connection was never opened
 				}
 			}
 		})
 	}
 }
 
-// within is the next of a channel; that none comes is a failure and not a hang.
+// receive returns the next value of a channel and fails the test if none arrives in time.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case x := <-c:
 		return x
 	case <-time.After(30 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within 30 s")
 		panic("unreachable")
 	}
 }
 
-// firstLine is the request's path, empty where none came.
+// readRequest returns what the first read of a connection yields, or "" if nothing arrives.
 func readRequest(c net.Conn) string {
 	buf := make([]byte, 512)
 	n, err := c.Read(buf)
@@ -182,9 +185,10 @@
 	return string(buf[:n])
 }
 
+// expectNoSecondAttempt fails the test if anything arrives on the connection before it ends.
 func expectNoSecondAttempt(t *testing.T, c net.Conn) {
 	t.Helper()
 	if b, _ := io.ReadAll(c); len(b) > 0 {
-		t.Errorf("the second copy's worker got %q", b)
+		t.Errorf("the second attempt's worker got %q", b)
 	}
 }
--- a/internal/routing/first_byte_test.go
+++ b/internal/routing/first_byte_test.go
@@ -18,25 +18,27 @@
 	"burlpass/internal/transport"
 )
 
-// timed is a message that says how much time it is told to have, in microseconds.
+// timedMessage is a message that carries its remaining time in microseconds.
 type timedMessage struct{ plainMessage }
 
+// Encode returns the head of a GET request with the remaining time.
 func (timedMessage) Encode(_ string, remaining time.Duration) [][]byte {
 	return [][]byte{[]byte("GET /x HTTP/1.1\r\nX-Expires-In: " + strconv.FormatInt(remaining.Microseconds(), 10) + "u\r\n\r\n")}
 }
 
-// town is a router beside three backends, of which the list names one. The test opens the connections to the first.
+// testSidecar is a router with three workers, of which the first list names one. The test gates dialing to the first worker.
 type testSidecar struct {
 	*Router
 	*gatedNetwork
 	accepted [3]chan net.Conn
 	addrs    [3]string
-	left     chan struct{} // closed by a client that leaves
+	left     chan struct{} // closed when the client leaves
 	answers  chan protocol.Answer
 }
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
+// newTestSidecar starts three workers and a router whose first list names the worker at the index listed.
 func newTestSidecar(t *testing.T, class decide.Class, listed int, adjust ...func(*Config)) *testSidecar {
 	s := &testSidecar{gatedNetwork: &gatedNetwork{gates: map[string]chan struct{}{}, dials: make(chan string, 8)},
 		left: make(chan struct{}), answers: make(chan protocol.Answer, 1)}
@@ -60,22 +62,24 @@
 		Limits: decide.Limits{MaxAttempts: 4}},
 		Network: s.gatedNetwork, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{"hall"}},
 		Workers: &protocol.Workers{Pool: transport.NewPool(s.gatedNetwork, transport.NewBudget(9), time.Minute, time.Minute)}}
-	for _, f := range adjust { // before the router's goroutines read it
+	for _, f := range adjust { // before the router's goroutines read the configuration
 		f(&c)
 	}
 	s.Router = New(t.Context(), c, s.list(1, s.instance(listed)))
 	return s
 }
 
+// instance returns the registry entry of a worker.
 func (s *testSidecar) instance(i int) protocol.Instance {
 	return protocol.Instance{ID: strconv.Itoa(i), Addr: s.addrs[i], Zone: "hall", Lifecycle: protocol.Up}
 }
 
+// list returns a full list.
 func (s *testSidecar) list(generation uint64, i ...protocol.Instance) *protocol.List {
 	return &protocol.List{Generation: generation, Reset: true, Instances: i}
 }
 
-// shut makes further connections to the first backend wait until the returned function is called.
+// gateFirstWorker blocks further connections to the first worker until the returned function is called.
 func (s *testSidecar) gateFirstWorker() (open func()) {
 	gate := make(chan struct{})
 	s.gatedNetwork.mu.Lock()
@@ -84,23 +88,24 @@
 	return func() { close(gate) }
 }
 
+// serve starts a call whose answer arrives on answers.
 func (s *testSidecar) serve() {
 	go func() {
 		s.answers <- s.Serve(&protocol.Call{Budget: 30 * time.Second, Message: timedMessage{}, Left: s.left})
 	}()
 }
 
-// untouched expects a connection to end with no byte on it.
+// expectNoBytes fails the test if any byte arrives on a connection before it ends.
 func expectNoBytes(t *testing.T, c net.Conn) {
 	t.Helper()
 	b := make([]byte, 512)
 	if n, _ := c.Read(b); n > 0 {
-		t.Errorf("the backend got %q", b[:n])
+		t.Errorf("the worker got %q", b[:n])
 	}
 }
 
-// begin returns a town with a request whose attempt, its first or a further one, waits for a connection to the first
-// backend until open is called. The answer of the attempt before a further one is first, and its connection's end.
+// startGatedAttempt returns a sidecar with a call whose first attempt, or second with retry, waits for a connection to the
+// first worker until open is called. With retry, the first attempt gets firstAnswer, and its connection is then closed.
 func startGatedAttempt(t *testing.T, class decide.Class, retry bool, firstAnswer string) (s *testSidecar, open func()) {
 	listed := 0
 	if retry {
@@ -116,13 +121,13 @@
 		io.WriteString(conn, firstAnswer)
 		conn.Close()
 	}
-	for receive(t, s.dials) != s.addrs[0] { // the others' connections, and discovery's, are opened too
+	for receive(t, s.dials) != s.addrs[0] { // connections to the other workers and the registry are dialed too
 	}
 	return s, open
 }
 
-// What a sidecar is told while an attempt waits for its connection holds for that attempt, be it the request's first or
-// a further one: no byte of it goes out, and the request goes to the backend that is listed now.
+// A list change or operator's order that arrives while an attempt is dialing must hold for that attempt, whether it is the
+// call's first or a further one: no byte of it may be sent, and the call must go to the worker that is listed now.
 func TestListChangeBeforeFirstByte(t *testing.T) {
 	both := func(s *testSidecar) {
 		s.applyList(s.registrySource, s.list(10, s.instance(0), s.instance(1)), decide.ListFull)
@@ -138,19 +143,21 @@
 			first.Lifecycle = protocol.Removed
 			s.applyList(s.registrySource, &protocol.List{Generation: 10, Instances: []protocol.Instance{first, s.instance(1)}}, decide.ListDelta)
 		},
-		"left out of a whole list": func(s *testSidecar) { s.applyList(s.registrySource, s.list(10, s.instance(1)), decide.ListFull) },
-		"removed, and back": func(s *testSidecar) {
+		"missing from a full list": func(s *testSidecar) {
+			s.applyList(s.registrySource, s.list(10, s.instance(1)), decide.ListFull)
+		},
+		"removed and listed again": func(s *testSidecar) {
 			s.applyList(s.registrySource, s.list(10, s.instance(1)), decide.ListFull)
 			first := s.instance(0)
 			first.StartedMs = time.Now().UnixMilli()
 			s.applyList(s.registrySource, s.list(11, first, s.instance(1)), decide.ListFull)
-			s.Disable("0") // so that the request goes to the other
+			s.Disable("0") // so that the call goes to the other worker
 		},
-		"started anew": func(s *testSidecar) {
+		"restarted": func(s *testSidecar) {
 			first := s.instance(0)
 			first.StartedMs = time.Now().UnixMilli()
 			s.applyList(s.registrySource, s.list(10, first, s.instance(1)), decide.ListFull)
-			s.Disable("0") // so that the request goes to the other
+			s.Disable("0") // so that the call goes to the other worker
 		},
 		"at another address": func(s *testSidecar) {
 			first := s.instance(0)
@@ -158,8 +165,8 @@
 			s.applyList(s.registrySource, s.list(10, first, s.instance(1)), decide.ListFull)
 			s.Disable("0")
 		},
-		"disabled by hand": func(s *testSidecar) { both(s); s.Disable("0") },
-		"disabled by orders": func(s *testSidecar) {
+		"disabled": func(s *testSidecar) { both(s); s.Disable("0") },
+		"disabled by the cluster": func(s *testSidecar) {
 			both(s)
 			var out maintenance.Set
 			out.Disable("0")
@@ -182,7 +189,7 @@
 	}
 }
 
-// answered expects the request's answer to be a backend's.
+// expectServed fails the test if the call's answer is not a worker's.
 func (s *testSidecar) expectServed(t *testing.T) {
 	t.Helper()
 	if a := receive(t, s.answers); a.Verdict != protocol.Served {
@@ -190,7 +197,7 @@
 	}
 }
 
-// A client that leaves while its attempt waits for a connection: nothing goes out.
+// If the client leaves while an attempt is dialing, no byte of the attempt may be sent.
 func TestClientLeavesBeforeFirstByte(t *testing.T) {
 	s, open := startGatedAttempt(t, decide.Class{Effect: decide.Unsafe}, false, "")
 	close(s.left)
@@ -202,7 +209,7 @@
 	receive(t, s.answers)
 }
 
-// gone tells that all open requests know of their client's leaving.
+// clientLeft reports whether all open calls have noticed that their client left.
 func (s *testSidecar) clientLeft() bool {
 	s.Router.mu.Lock()
 	defer s.Router.mu.Unlock()
@@ -214,8 +221,8 @@
 	return true
 }
 
-// A choice holds for the process that was chosen: should another have been told of at its address before the attempt
-// begins, neither the connection kept from the earlier process nor a new one carries it.
+// A choice is valid only for the process that was chosen. If another process is listed at its address before the attempt
+// starts, neither a connection kept from the earlier process nor a new one may carry the attempt.
 func TestRestartBetweenChoiceAndAttempt(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -227,7 +234,7 @@
 	s.expectServed(t)
 
 	active := &activeCall{call: &protocol.Call{Budget: time.Minute, Message: timedMessage{}, Left: ctx.Done()}}
-	s.addCall(active) // the module has chosen
+	s.addCall(active) // the balancer has chosen the worker
 	restarted := s.instance(0)
 	restarted.StartedMs = time.Now().UnixMilli()
 	s.applyList(s.registrySource, s.list(2, restarted), decide.ListFull)
@@ -235,13 +242,13 @@
 	a := s.startAttempt(active, <-active.commands, results)
 	expectNoBytes(t, kept)
 	expectNoBytes(t, receive(t, s.accepted[0]))
-	a.Abort() // changes nothing where it has ended
+	a.Abort() // no effect if the attempt has ended
 	if r := <-results; r.Sent {
 		t.Errorf("got %+v", r)
 	}
 }
 
-// An attempt tells its backend at most what is left to the client when its first byte goes out, however long its
+// An attempt must tell its worker no more time than the client has left when its first byte is sent, however long the
 // connection took to open.
 func TestRemainingTimeAtFirstByte(t *testing.T) {
 	const dialDelay = 50 * time.Millisecond
@@ -249,8 +256,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, open := startGatedAttempt(t, decide.Class{}, retry, "")
-			started := time.Now() // or after
-			time.Sleep(dialDelay) // is what the connection takes
+			started := time.Now() // at or after the real start of the call
+			time.Sleep(dialDelay) // the time that opening the connection takes
 			left := 30*time.Second - time.Since(started)
 			open()
 			conn := receive(t, s.accepted[0])
@@ -258,7 +265,7 @@
 			header, _, _ = strings.Cut(header, "\r\n")
 			remaining, err := time.ParseDuration(header + "s")
 			if err != nil || remaining > left {
-				t.Errorf("told %v (%v), %v left", remaining, err, left)
+				t.Errorf("told the worker %v (error: %v), but the client has %v left", remaining, err, left)
 			}
 			io.WriteString(conn, okAnswer)
 			s.expectServed(t)
@@ -266,28 +273,29 @@
 	}
 }
 
-// The window in which a repeat is dropped counts from the first attempt that may have run, and a repeat that is still
-// without its connection at the window's end does not go out. One before which nothing ran has no window.
+// The window for repeats (in which workers drop duplicates) counts from the first attempt that may have been executed. A
+// repeat that is still dialing at the end of the window must not be sent. Without an executed attempt there is no window.
 func TestRepeatWindowAtFirstByte(t *testing.T) {
 	const window = 100 * time.Millisecond
 	for name, test := range map[string]struct {
 		window      time.Duration
-		firstAnswer string // what the first attempt's backend answers
+		firstAnswer string // of the first attempt's worker
 		sent        bool
 	}{
-		"over":        {window, "", false},
-		"not over":    {time.Hour, "", true},
-		"nothing ran": {window, "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true},
+		"window over":  {window, "", false},
+		"window open":  {time.Hour, "", true},
+		"not executed": {window, "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, open := startGatedAttempt(t, decide.Class{Effect: decide.Keyed, Window: test.window, Aim: 6 * time.Second}, true, test.firstAnswer)
-			time.Sleep(window) // the window's end is the subject
+			s, open := startGatedAttempt(t, decide.Class{Effect: decide.Keyed, Window: test.window, Aim: 6 * time.Second},
+				true, test.firstAnswer)
+			time.Sleep(window) // until the end of the window
 			open()
 			conn := receive(t, s.accepted[0])
 			if !test.sent {
 				expectNoBytes(t, conn)
-				if a := receive(t, s.answers); a.Verdict != protocol.Refused { // the group is all: harmless
+				if a := receive(t, s.answers); a.Verdict != protocol.Refused { // the group is all workers: trying again is harmless
 					t.Errorf("got %+v", a)
 				}
 				return
@@ -299,7 +307,7 @@
 	}
 }
 
-// An attempt that finds its request's time over when its connection is there does not go out.
+// An attempt whose call's deadline has passed when its connection opens must not be sent.
 func TestDeadlineBeforeFirstByte(t *testing.T) {
 	s := newTestSidecar(t, decide.Class{}, 0)
 	active := &activeCall{call: &protocol.Call{Budget: time.Minute, Message: timedMessage{}}}
@@ -308,7 +316,7 @@
 	results := make(chan transport.Result, 1)
 	a := s.startAttempt(active, <-active.commands, results)
 	expectNoBytes(t, receive(t, s.accepted[0]))
-	a.Abort() // changes nothing where it has ended
+	a.Abort() // no effect if the attempt has ended
 	if r := <-results; r.Sent {
 		t.Errorf("got %+v", r)
 	}
--- a/internal/routing/guard.go
+++ b/internal/routing/guard.go
@@ -54,7 +54,8 @@
 	if active.call.Class >= len(r.Decide.Classes) || first.mayRepeat(&r.Decide.Classes[active.call.Class], cmd, time.Now()) {
 		return true
 	}
-	r.Invariants.Broken(invariant.RepeatAllowed, string(active.call.ID), "attempt", active.attempts, "first", time.Since(first.startedAt))
+	r.Invariants.Broken(invariant.RepeatAllowed, string(active.call.ID),
+		"attempt", active.attempts, "first", time.Since(first.startedAt))
 	return false
 }
 
--- a/internal/routing/guard_test.go
+++ b/internal/routing/guard_test.go
@@ -12,7 +12,7 @@
 	"burlpass/internal/protocol"
 )
 
-// What may have run goes out again only as its class allows.
+// A call that a worker may have executed must be repeated only as its class allows.
 func TestMayRepeat(t *testing.T) {
 	startedAt := time.Now()
 	ran := firstRun{startedAt: startedAt, zone: 1, cell: 2}
@@ -27,7 +27,7 @@
 		after time.Duration
 		want  bool
 	}{
-		"nothing has run":     {decide.Class{Effect: decide.Unsafe}, firstRun{}, elsewhere, time.Hour, true},
+		"nothing executed":    {decide.Class{Effect: decide.Unsafe}, firstRun{}, elsewhere, time.Hour, true},
 		"safe":                {decide.Class{Effect: decide.Safe}, ran, elsewhere, time.Hour, true},
 		"unsafe":              {decide.Class{Effect: decide.Unsafe, Window: time.Hour}, ran, sameCell, 0, false},
 		"all":                 {keyed(decide.GroupAll), ran, elsewhere, 0, true},
@@ -45,11 +45,11 @@
 	}
 }
 
-// A second send of what must not run twice, ordered by whomever, is counted and does not go out.
+// A second send of a call that must not be executed twice must not go out, whoever commands it, and must be counted.
 func TestForbiddenRepeat(t *testing.T) {
 	s := newTestSidecar(t, decide.Class{Effect: decide.Unsafe}, 0, func(c *Config) {
 		c.Invariants = invariant.NewMonitor(logging.Discard())
-		c.Decide.Limits.SecondCopies = true // else the router lets no second attempt out for that alone
+		c.Decide.Limits.SecondCopies = true // otherwise the router rejects the second attempt for that reason alone
 	})
 	s.applyList(s.registrySource, s.list(2, s.instance(0), s.instance(1)), decide.ListFull)
 	s.serve()
@@ -77,30 +77,34 @@
 	}
 	select {
 	case <-other:
-		t.Error("the second send went out")
+		t.Error("the second attempt was sent")
 	default:
 	}
 }
 
-// An attempt whose first byte went out late, after what Ready saw has changed, is counted under the rule that it broke.
+// If the first byte is sent so late that the conditions checked by Ready have changed, the attempt must be counted under
+// each rule that it violates.
 func TestLateFirstByte(t *testing.T) {
 	for name, test := range map[string]struct {
 		after  time.Duration
 		change func(s *testSidecar, active *activeCall, a *attempt)
 		want   []invariant.Rule
 	}{
-		"nothing has changed": {120 * time.Millisecond, func(*testSidecar, *activeCall, *attempt) {}, nil},
-		"its client has left": {120 * time.Millisecond, func(_ *testSidecar, active *activeCall, _ *attempt) { active.clientLeft.Store(true) }, []invariant.Rule{invariant.ClientPresent}},
-		"its backend drains, in the grace": {120 * time.Millisecond, func(s *testSidecar, _ *activeCall, _ *attempt) {
+		"no change": {120 * time.Millisecond, func(*testSidecar, *activeCall, *attempt) {}, nil},
+		"client left": {120 * time.Millisecond, func(_ *testSidecar, active *activeCall, _ *attempt) {
+			active.clientLeft.Store(true)
+		}, []invariant.Rule{invariant.ClientPresent}},
+		"worker drains, within the grace period": {120 * time.Millisecond, func(s *testSidecar, _ *activeCall, _ *attempt) {
 			s.applyList(s.registrySource, s.list(2), decide.ListFull)
 		}, nil},
-		"its backend drains, after the grace": {time.Second, func(s *testSidecar, _ *activeCall, _ *attempt) {
+		"worker drains, after the grace period": {time.Second, func(s *testSidecar, _ *activeCall, _ *attempt) {
 			s.applyList(s.registrySource, s.list(2), decide.ListFull)
 		}, []invariant.Rule{invariant.BackendListed, invariant.DeadlineTold}},
-		"its time is over": {120 * time.Millisecond, func(_ *testSidecar, _ *activeCall, a *attempt) {
+		"deadline passed": {120 * time.Millisecond, func(_ *testSidecar, _ *activeCall, a *attempt) {
 			a.initialDeadline = time.Now().Add(-time.Second)
 		}, []invariant.Rule{invariant.WithinDeadline}},
-		"it was told too much time": {200 * time.Millisecond, func(*testSidecar, *activeCall, *attempt) {}, []invariant.Rule{invariant.DeadlineTold}},
+		"too much time sent to the worker": {200 * time.Millisecond, func(*testSidecar, *activeCall, *attempt) {},
+			[]invariant.Rule{invariant.DeadlineTold}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestSidecar(t, decide.Class{}, 0, func(c *Config) {
@@ -117,11 +121,11 @@
 			a.Began(test.after)
 			for _, rule := range test.want {
 				if s.Invariants.Count(rule) != 1 {
-					t.Errorf("%v was counted %d times", rule, s.Invariants.Count(rule))
+					t.Errorf("%v was counted %d times, want 1", rule, s.Invariants.Count(rule))
 				}
 			}
 			if total := s.Invariants.Total(); total != int64(len(test.want)) {
-				t.Errorf("%d violations in all, %d expected", total, len(test.want))
+				t.Errorf("%d violations in total, want %d", total, len(test.want))
 			}
 		})
 	}
--- a/internal/routing/main_test.go
+++ b/internal/routing/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Whatever a test has ended leaves no goroutine behind.
+// TestMain checks that no goroutine is left after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/routing/registry_test.go
+++ b/internal/routing/registry_test.go
@@ -21,43 +21,44 @@
 	"burlpass/internal/transport"
 )
 
-// fate is what becomes of a call to the scripted discovery.
+// callFate is how the fake registry treats one request.
 type callFate int
 
 const (
 	fateAnswered     callFate = iota
-	fateSilent                // the connection comes up, and nothing is ever said on it
-	fateNoConnection          // the connection never comes up
+	fateSilent                // the connection opens, but nothing is ever sent on it
+	fateNoConnection          // the connection never opens
 	fateRefused               // the connection is refused
-	fateClosed                // the connection ends when the call has been read
-	fateUnavailable           // 503, after the time that a call may wait at discovery
+	fateClosed                // the connection is closed when the request has been read
+	fateUnavailable           // 503, after the longest wait in the registry's queue
 )
 
-var fateNames = map[callFate]string{fateAnswered: "answered", fateSilent: "silent", fateNoConnection: "unheard", fateRefused: "refused", fateClosed: "broken", fateUnavailable: "503"}
+var fateNames = map[callFate]string{fateAnswered: "answered", fateSilent: "no answer", fateNoConnection: "no connection",
+	fateRefused: "refused", fateClosed: "closed", fateUnavailable: "503"}
 
-// When discovery says that it is too busy, and when it answers, as shares of the time told.
+// Delays of the registry's 503 and of its answers, as shares of the time within which a change must be learned.
 const (
 	unavailableDelayShare = 1.0 / 3
 	answerDelayShare      = 0.045
 )
 
-// scripted is a discovery in memory. A test sets what becomes of the calls to come, one after another; when the fates have
-// run out, calls are answered.
+// fakeRegistry is a registry in memory. A test sets the fates of the following requests in order; after those, requests are
+// answered.
 type fakeRegistry struct {
 	mu           sync.Mutex
 	generation   uint64
 	changed      chan struct{} // closed at the next change
 	fates        []callFate
-	muted        bool      // what comes is never answered
-	down         bool      // what comes is refused
-	silentBefore time.Time // calls from before it are never answered
-	closedBefore time.Time // connections of calls from before it end
+	muted        bool      // new requests are never answered
+	down         bool      // new requests are refused
+	silentBefore time.Time // requests from before it are never answered
+	closedBefore time.Time // connections of requests from before it are closed
 	learnWithin  time.Duration
-	slow         bool // plain calls wait their turn, for as long as a busy discovery lets them
+	slow         bool // requests for a list wait in a queue for as long as the registry allows
 	serving      sync.WaitGroup
 }
 
-// next is what becomes of a call that begins now.
+// nextFate returns the fate of a request that starts now.
 func (s *fakeRegistry) nextFate() callFate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +75,7 @@
 	return fate
 }
 
-// set changes the script; with wake, the watches that are open look at it at once.
+// update changes the registry's behavior; with wake, open watches return at once and see the change.
 func (s *fakeRegistry) update(wake bool, change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,10 +86,10 @@
 	}
 }
 
-// Listen is never called.
+// Listen is unused.
 func (s *fakeRegistry) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
 
-// Dial connects to the scripted discovery, whatever the address.
+// Dial connects to the fake registry, whatever the address.
 func (s *fakeRegistry) Dial(ctx context.Context, _ string) (transport.Socket, error) {
 	fate := s.nextFate()
 	switch fate {
@@ -103,13 +104,16 @@
 	return pipeSocket{local}, nil
 }
 
-// pipe is a connection of which nobody asks whether it is quiet.
+// pipeSocket is a connection whose Quiet and Await are unused.
 type pipeSocket struct{ net.Conn }
 
-func (pipeSocket) Quiet() bool  { return true }
+// Quiet is unused.
+func (pipeSocket) Quiet() bool { return true }
+
+// Await is unused.
 func (pipeSocket) Await() error { return nil }
 
-// serve answers the calls of one connection; the first one's fate is f.
+// serve answers the requests of one connection, the first according to fate.
 func (s *fakeRegistry) serve(conn net.Conn, fate callFate) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
@@ -123,7 +127,7 @@
 		}
 		switch fate {
 		case fateSilent, fateNoConnection:
-			io.Copy(io.Discard, r) // until the other side gives up
+			io.Copy(io.Discard, r) // until the client gives up
 			return
 		case fateRefused, fateClosed:
 			return
@@ -142,7 +146,7 @@
 	}
 }
 
-// answer answers one call, a watch when there is something newer or its wait is over, and returns what has become of it.
+// respond answers one request, a watch once there is a change or its wait is over, and returns the fate of the request.
 func (s *fakeRegistry) respond(conn net.Conn, request *http.Request) callFate {
 	startedAt := time.Now()
 	query := request.URL.Query()
@@ -175,7 +179,7 @@
 	return fateAnswered
 }
 
-// answerTime is how long an answer takes that need not wait for a change.
+// answerDelay returns the delay of an answer that need not wait for a change.
 func (s *fakeRegistry) answerDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,21 +189,21 @@
 	return time.Duration(answerDelayShare * float64(s.learnWithin))
 }
 
-// lost tells that a call from then will not be answered.
+// abandoned reports whether a request that started then will not be answered.
 func (s *fakeRegistry) abandoned(startedAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return startedAt.Before(s.silentBefore) || startedAt.Before(s.closedBefore)
 }
 
-// follower is a router on a scripted discovery, and the generations that it has heard of.
+// registryClient is a router on a fake registry, and the generations that its balancer has learned of.
 type registryClient struct {
 	*fakeRegistry
 	router  *Router
 	learned map[uint64]bool
 }
 
-// follow starts a router on virtual time.
+// newRegistryClient starts a router; the test runs it on virtual time.
 func newRegistryClient(t *testing.T, balancers int, safety decide.Safety) *registryClient {
 	c := &registryClient{fakeRegistry: &fakeRegistry{generation: 1, changed: make(chan struct{}), learnWithin: safety.ToldWithin()},
 		learned: map[uint64]bool{}}
@@ -220,7 +224,7 @@
 	return c
 }
 
-// due fails the test where the present generation is not heard of within the time told from now on.
+// expectLearned fails the test if the balancer does not learn of the current generation in time, counted from now.
 func (c *registryClient) expectLearned(t *testing.T, scenario string) {
 	t.Helper()
 	c.mu.Lock()
@@ -231,21 +235,22 @@
 	c.router.mu.Lock()
 	defer c.router.mu.Unlock()
 	if !c.learned[generation] {
-		t.Errorf("%s: a change was not heard of within %v", scenario, c.learnWithin)
+		t.Errorf("%s: a change was not learned of within %v", scenario, c.learnWithin)
 	}
 }
 
-// A change that discovery has, and can be asked for, counts as told after a time, whatever became of the calls meanwhile: a
-// watch that fell silent right before it, a call that failed right before or right after it, an outage that ended with it, a
-// move to another discovery in the middle of any of these. What fails here sends requests to servers that are leaving.
+// A change must be learned of within a fixed time once the registry has it and can be reached, whatever happened to earlier
+// requests: a watch that stopped responding right before it, a request that failed right before or after it, an outage that
+// ended with it, or a move to another registry during any of these. If it is not, calls are sent to workers that are
+// shutting down.
 func TestListChangeLearnedInTime(t *testing.T) {
 	for _, balancers := range []int{4, 30, 300} {
 		for _, askWithin := range []time.Duration{0, 2 * time.Second, 10 * time.Second, time.Minute} {
 			safety := decide.Safety{AskWithin: askWithin, DrainGrace: 750 * time.Millisecond}
 			for failed := range fateNames {
-				name := fmt.Sprintf("%d sidecars, asked within %v, then %s", balancers, askWithin, fateNames[failed])
+				name := fmt.Sprintf("%d sidecars, ask within %v, then %s", balancers, askWithin, fateNames[failed])
 				t.Run(name, func(t *testing.T) {
-					for range 5 { // waits are drawn
+					for range 5 { // waits are random
 						testChangeAroundFailure(t, balancers, safety, failed)
 					}
 				})
@@ -254,20 +259,20 @@
 	}
 }
 
-// orders plays each order in which a call that fails once can meet a change.
+// testChangeAroundFailure runs each sequence in which a request that fails once can coincide with a change.
 func testChangeAroundFailure(t *testing.T, balancers int, safety decide.Safety, failed callFate) {
 	run := func(scenario string, steps func(c *registryClient)) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newRegistryClient(t, balancers, safety)
-			time.Sleep(time.Duration((1 + rand.Float64()) * float64(c.learnWithin))) // the watch is open, anywhere in its wait
+			time.Sleep(time.Duration((1 + rand.Float64()) * float64(c.learnWithin))) // the watch is open, at a random point of its wait
 			steps(c)
 			c.expectLearned(t, scenario)
 		})
 	}
-	run("a watch falls silent as the change comes", func(c *registryClient) {
+	run("a watch stops responding at the change", func(c *registryClient) {
 		c.update(true, func() { c.silentBefore = time.Now(); c.fates = []callFate{failed}; c.generation++ })
 	})
-	run("a watch ends as the change comes", func(c *registryClient) {
+	run("a watch is closed at the change", func(c *registryClient) {
 		c.update(true, func() { c.closedBefore = time.Now(); c.fates = []callFate{failed}; c.generation++ })
 	})
 	run("an outage ends with the change", func(c *registryClient) {
@@ -275,20 +280,20 @@
 		time.Sleep(2 * c.learnWithin)
 		c.update(false, func() { c.down, c.fates = false, []callFate{failed}; c.generation++ })
 	})
-	run("a silence of all calls ends with the change", func(c *registryClient) {
+	run("an outage without any answers ends with the change", func(c *registryClient) {
 		c.update(true, func() { c.muted, c.silentBefore = true, time.Now() })
 		time.Sleep(2 * c.learnWithin)
 		c.update(false, func() { c.muted, c.fates = false, []callFate{failed}; c.generation++ })
 	})
-	run("a move as the change comes", func(c *registryClient) {
+	run("a move at the change", func(c *registryClient) {
 		c.update(false, func() { c.fates = []callFate{failed}; c.generation++ })
 		c.router.MoveRegistry("new")
 	})
-	run("a move to a discovery that makes calls wait their turn", func(c *registryClient) {
+	run("a move to a registry that queues requests", func(c *registryClient) {
 		c.update(false, func() { c.slow = true; c.generation++ })
 		c.router.MoveRegistry("new")
 	})
-	run("a move in the middle of an outage that ends with the change", func(c *registryClient) {
+	run("a move during an outage that ends with the change", func(c *registryClient) {
 		c.update(true, func() { c.down, c.closedBefore = true, time.Now() })
 		time.Sleep(c.learnWithin)
 		c.router.MoveRegistry("new")
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -15,7 +15,8 @@
 	"burlpass/internal/transport"
 )
 
-// What certainly never ran may be refused or sent elsewhere; calling it that wrongly books a car twice.
+// Only an attempt that was certainly not executed may be refused or sent to another worker. Reporting one wrongly as not
+// executed executes the call twice.
 func TestAttemptStatus(t *testing.T) {
 	broken := errors.New("broken")
 	for name, test := range map[string]struct {
@@ -25,19 +26,19 @@
 		want                 decide.Status
 	}{
 		"served":                       {result: transport.Result{Sent: true}, want: decide.OK},
-		"turned away":                  {result: transport.Result{Sent: true}, kind: protocol.ReplyFull, want: decide.Full},
+		"full":                         {result: transport.Result{Sent: true}, kind: protocol.ReplyFull, want: decide.Full},
 		"error":                        {result: transport.Result{Sent: true}, kind: protocol.ReplyError, want: decide.Errored},
-		"not written whole":            {result: transport.Result{Err: broken}, want: decide.ConnectFailed},
+		"not written in full":          {result: transport.Result{Err: broken}, want: decide.ConnectFailed},
 		"broken once written":          {result: transport.Result{Sent: true, Err: broken}, want: decide.Reset},
 		"broken on a kept connection":  {result: transport.Result{Sent: true, Kept: true, Err: broken}, want: decide.Stale},
-		"garbage":                      {result: transport.Result{Sent: true, Err: protocol.ErrBodyTooBig}, want: decide.Spoilt},
+		"invalid answer":               {result: transport.Result{Sent: true, Err: protocol.ErrBodyTooBig}, want: decide.Spoilt},
 		"answer before the message":    {result: transport.Result{Sent: true, Err: transport.ErrEarly}, want: decide.Spoilt},
 		"time out":                     {result: transport.Result{Sent: true, Err: transport.ErrAborted}, timedOut: true, want: decide.TimedOut},
 		"cancelled":                    {result: transport.Result{Sent: true, Err: transport.ErrAborted}, want: decide.Cancelled},
 		"time out while connecting":    {result: transport.Result{Err: transport.ErrAborted}, timedOut: true, want: decide.Moot},
 		"no port on this machine":      {result: transport.Result{Err: transport.ErrLocal}, want: decide.Moot},
 		"no descriptor":                {result: transport.Result{Err: transport.ErrCrowded}, want: decide.Moot},
-		"worker left the list":         {result: transport.Result{Err: transport.ErrRevoked}, want: decide.Moot},
+		"worker no longer listed":      {result: transport.Result{Err: transport.ErrRevoked}, want: decide.Moot},
 		"client left while connecting": {result: transport.Result{Err: transport.ErrRevoked}, clientLeft: true, want: decide.Moot},
 	} {
 		a := attempt{timedOut: test.timedOut}
@@ -48,11 +49,11 @@
 	}
 }
 
-// The list that an attempt is checked against: a late answer brings no drained worker back, a restart or a
-// new address is another worker, and nothing is kept of one that has gone.
+// Lists that an attempt is checked against: a late answer must not bring back a drained worker, a restart or a new address
+// makes a different worker, and no entry may remain of a removed one.
 func TestApplyList(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // no watch is made
+	cancel() // so that no watch starts
 	instance := func(id, addr string, l protocol.Lifecycle, started int64) protocol.Instance {
 		return protocol.Instance{ID: id, Addr: addr, Lifecycle: l, StartedMs: started}
 	}
@@ -66,16 +67,16 @@
 		isCurrent bool
 		upWorkers int
 	}{
-		"nothing":             {list(5, false), decide.ListDelta, true, 2},
-		"draining":            {list(6, false, instance("a", "h:1", protocol.LifecycleDraining, 0)), decide.ListDelta, false, 1},
-		"removed":             {list(6, false, instance("a", "", protocol.Removed, 0)), decide.ListDelta, false, 1},
-		"another address":     {list(6, false, instance("a", "h:2", protocol.Up, 0)), decide.ListDelta, false, 2},
-		"restarted":           {list(6, false, instance("a", "h:1", protocol.Up, 9)), decide.ListDelta, false, 2},
-		"absent from a whole": {list(6, true, instance("b", "h:3", protocol.Up, 0)), decide.ListDelta, false, 1},
-		"late delta":          {list(4, false, instance("a", "h:2", protocol.Up, 0)), decide.ListDelta, true, 2},
-		"late fetch":          {list(4, true), decide.ListFull, true, 2},
-		"registry begun anew": {list(1, true, up), decide.ListDelta, true, 1},
-		"same again":          {list(6, true, up), decide.ListFull, true, 1},
+		"no change":          {list(5, false), decide.ListDelta, true, 2},
+		"draining":           {list(6, false, instance("a", "h:1", protocol.LifecycleDraining, 0)), decide.ListDelta, false, 1},
+		"removed":            {list(6, false, instance("a", "", protocol.Removed, 0)), decide.ListDelta, false, 1},
+		"another address":    {list(6, false, instance("a", "h:2", protocol.Up, 0)), decide.ListDelta, false, 2},
+		"restarted":          {list(6, false, instance("a", "h:1", protocol.Up, 9)), decide.ListDelta, false, 2},
+		"missing, full list": {list(6, true, instance("b", "h:3", protocol.Up, 0)), decide.ListDelta, false, 1},
+		"late delta":         {list(4, false, instance("a", "h:2", protocol.Up, 0)), decide.ListDelta, true, 2},
+		"late fetch":         {list(4, true), decide.ListFull, true, 2},
+		"registry restarted": {list(1, true, up), decide.ListDelta, true, 1},
+		"unchanged list":     {list(6, true, up), decide.ListFull, true, 1},
 	} {
 		r := New(ctx, Config{Decide: decide.Config{Classes: []decide.Class{{Aim: time.Second}}},
 			Network: transport.System{},
@@ -90,11 +91,11 @@
 	}
 }
 
-// A late answer of the registry that was moved from must not win, nor its failure count; the new one may count
-// from anywhere until its whole list is there, and then only forward.
+// After a move, a late answer of the old registry must be ignored. The first full list of the new registry may have any
+// generation; after that, generations must not go back.
 func TestMoveRegistry(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // no watch is made
+	cancel() // so that no watch starts
 	list := func(generation uint64, id string) *protocol.List {
 		return &protocol.List{Generation: generation, Reset: true,
 			Instances: []protocol.Instance{{ID: id, Addr: "h:1", Lifecycle: protocol.Up}}}
@@ -121,11 +122,11 @@
 	}
 }
 
-// A start in Unix time and the module's clock must be one scale, and the clock must not go back.
+// The balancer's clock must be on the scale of Unix time, as start times are, and must not go back.
 func TestClock(t *testing.T) {
 	before := time.Now()
 	r := &Router{clockOrigin: before}
 	if now := r.now(); now < time.Duration(before.UnixNano()) || now > time.Duration(time.Now().Add(time.Second).UnixNano()) {
-		t.Errorf("%v is not Unix time", now)
+		t.Errorf("%v is not on the scale of Unix time", now)
 	}
 }
