--- a/internal/routing/feed.go
+++ b/internal/routing/feed.go
@@ -8,156 +8,157 @@
 	"burlpass/internal/protocol"
 )
 
-// Where lists are pushed, the registry's address belongs to an agent beside the sidecar. What the agent has been sent
-// counts as told to the sidecar whether it has asked or not, so a watch is kept for as long as the router lives, and
-// nobody has to order it. The agent answers at once and at no cost. One that does not answer is silent, and nobody can
-// know whether it will answer the calls that wait or only new ones once it speaks again, nor how soon news must be
-// heeded then: so further calls are made beside the first, and the first answer to any of them counts.
+// Where the registry pushes lists, its address is that of an agent beside the sidecar. The sidecar is held to know what the
+// agent has been sent, whether it has asked or not, so the router watches the agent for as long as it runs, without a
+// command of the balancer. The agent answers at once and at no cost. If it stops responding, it is unknown whether it will
+// later answer the pending exchanges or only new ones, and how soon a change must then be acted on. The router therefore
+// sends hedged exchanges beside the first and uses the first answer to any of them.
 const (
-	feedWait   = 250 * time.Millisecond // of one watch call
-	feedLate   = 100 * time.Millisecond // past it another call is made beside it
-	feedPace   = 20 * time.Millisecond  // least time between an answer and the next call
-	feedRetry  = 100 * time.Millisecond // least time between two calls without an answer between
-	feedLong   = 2 * time.Second        // that the first call may take beyond its wait
-	feedShort  = 400 * time.Millisecond // and each one beside it
-	feedCalls  = 4                      // out together beside the first
-	feedSilent = time.Second            // without an answer for that long, and for twice as long each time, it is logged
+	agentWatchWait      = 250 * time.Millisecond // wait of one watch
+	agentHedgeDelay     = 100 * time.Millisecond // delay beyond that wait before the first hedged exchange
+	agentMinInterval    = 20 * time.Millisecond  // minimum time between an answer and the next exchange
+	agentRetryInterval  = 100 * time.Millisecond // minimum time between two exchanges without an answer in between
+	agentCallGrace      = 2 * time.Second        // time beyond its wait that the first exchange may take
+	agentHedgeGrace     = 400 * time.Millisecond // time beyond its wait that a hedged exchange may take
+	agentMaxHedges      = 4                      // maximum number of hedged exchanges in flight
+	agentSilenceWarning = time.Second            // time without an answer before the first warning; doubles with each warning
 )
 
-// feed follows the agent until the router's end. Each watch begins with the whole list, whatever its generation: an
-// agent that has been away may have begun to count anew.
-func (r *Router) feed() {
+// followAgent watches the agent until the router ends. Each watch begins with a full list, whatever its generation, because
+// an agent that was unavailable may have restarted its generation numbers.
+func (r *Router) followAgent() {
 	for r.ctx.Err() == nil {
 		r.mu.Lock()
-		s := r.subscribe()
+		sub := r.subscribe()
 		r.mu.Unlock()
-		f := &feeder{Router: r, s: s}
-		for whole := true; s.ctx.Err() == nil; {
-			a, ok := f.ask(whole)
-			if !ok { // moved to another agent, or over
+		watcher := &agentWatcher{Router: r, sub: sub}
+		for full := true; sub.ctx.Err() == nil; {
+			response, ok := watcher.poll(full)
+			if !ok { // the registry has moved, or the router has ended
 				break
 			}
 			kind := decide.ListDelta
-			if a.whole {
+			if response.full {
 				r.mu.Lock()
-				r.foreign = true // its count begins with this
+				r.listFromOldRegistry = true // this list sets the generation, even to an older one
 				r.mu.Unlock()
 				kind = decide.ListFull
 			}
 			r.mu.Lock()
-			older := !a.whole && !a.list.Reset && a.list.Generation < r.generation
+			outdated := !response.full && !response.list.Reset && response.list.Generation < r.generation
 			r.mu.Unlock()
-			r.learn(s.source, a.list, kind)
-			whole = older // it counts anew without a word: changes to a list that is not the one at hand
-			rest(s.ctx, feedPace)
+			r.applyList(sub.registrySource, response.list, kind)
+			full = outdated // the generation has restarted without a reset: the delta does not apply to the current list
+			sleep(sub.ctx, agentMinInterval)
 		}
-		f.close()
+		watcher.close()
 	}
 }
 
-// feeder is one watch on an agent.
-type feeder struct {
+// agentWatcher is one watch on an agent.
+type agentWatcher struct {
 	*Router
-	s    *subscription
-	free []*protocol.Registry // whose connection may be there still
+	sub  *subscription
+	idle []*protocol.Registry // clients whose connection may still be open
 }
 
-// fed is how one call ended.
-type fed struct {
-	list  *protocol.List
-	err   error
-	whole bool
-	by    *protocol.Registry
+// agentResponse is the result of one exchange with the agent.
+type agentResponse struct {
+	list     *protocol.List
+	err      error
+	full     bool
+	registry *protocol.Registry
 }
 
-// ask asks until there is an answer: for the whole list, or for what is newer than the one at hand. It returns false
-// once the watch is over. When it returns no call is out.
-func (f *feeder) ask(whole bool) (fed, bool) {
-	ctx, cancel := context.WithCancel(f.s.ctx)
-	ends := make(chan fed, feedCalls+1)
-	out := 0
-	call := func(whole bool, grace time.Duration) {
-		by := &protocol.Registry{Network: f.Network, Addr: f.s.addr}
-		if n := len(f.free); n > 0 {
-			by, f.free = f.free[n-1], f.free[:n-1]
+// poll asks until there is an answer: for the full list, or for what is newer than the current one. It returns false once
+// the watch is over. When it returns, no exchange is in flight.
+func (w *agentWatcher) poll(full bool) (agentResponse, bool) {
+	ctx, cancel := context.WithCancel(w.sub.ctx)
+	responses := make(chan agentResponse, agentMaxHedges+1)
+	inFlight := 0
+	send := func(full bool, grace time.Duration) {
+		registry := &protocol.Registry{Network: w.Network, Addr: w.sub.addr}
+		if n := len(w.idle); n > 0 {
+			registry, w.idle = w.idle[n-1], w.idle[:n-1]
 		}
-		by.Wait, by.Grace = feedWait, grace
-		f.mu.Lock()
-		since := f.generation
-		f.mu.Unlock()
-		out++
+		registry.Wait, registry.Grace = agentWatchWait, grace
+		w.mu.Lock()
+		since := w.generation
+		w.mu.Unlock()
+		inFlight++
 		go func() {
-			x := fed{whole: whole, by: by}
-			if whole {
-				x.list, x.err = by.Fetch(ctx)
+			response := agentResponse{full: full, registry: registry}
+			if full {
+				response.list, response.err = registry.Fetch(ctx)
 			} else {
-				x.list, x.err = by.Watch(ctx, since)
+				response.list, response.err = registry.Watch(ctx, since)
 			}
-			ends <- x
+			responses <- response
 		}()
 	}
 	defer func() {
-		for cancel(); out > 0; out-- {
-			(<-ends).by.Close()
+		for cancel(); inFlight > 0; inFlight-- {
+			(<-responses).registry.Close()
 		}
 	}()
-	call(whole, feedLong)
-	next := time.NewTimer(feedWait + feedLate)
-	defer next.Stop()
-	silent := feedSilent
-	var last error // that a call ended with
+	send(full, agentCallGrace)
+	hedge := time.NewTimer(agentWatchWait + agentHedgeDelay)
+	defer hedge.Stop()
+	warnAfter := agentSilenceWarning
+	var lastErr error // of the last failed exchange
 	for {
 		select {
-		case x := <-ends:
-			out--
-			if x.err == nil {
-				f.free = append(f.free, x.by)
-				return x, true
+		case response := <-responses:
+			inFlight--
+			if response.err == nil {
+				w.idle = append(w.idle, response.registry)
+				return response, true
 			}
-			x.by.Close()
-			last = x.err
-			if out == 0 {
-				next.Reset(feedRetry)
+			response.registry.Close()
+			lastErr = response.err
+			if inFlight == 0 {
+				hedge.Reset(agentRetryInterval)
 			}
-		case <-next.C:
-			if out == 0 {
-				call(true, feedLong)
-			} else if out <= feedCalls {
-				call(true, feedShort)
+		case <-hedge.C:
+			if inFlight == 0 {
+				send(true, agentCallGrace)
+			} else if inFlight <= agentMaxHedges {
+				send(true, agentHedgeGrace)
 			}
-			next.Reset(feedRetry)
+			hedge.Reset(agentRetryInterval)
 		case <-ctx.Done():
-			return fed{}, false
+			return agentResponse{}, false
 		}
-		if age := f.ListAge(); age > silent {
-			f.Log.Warn("registry_failed", "registry", f.s.addr, "call", "feed", "list_age", age.Round(time.Millisecond), "err", last)
-			for silent < age {
-				silent *= 2
+		if age := w.ListAge(); age > warnAfter {
+			w.Log.Warn("registry_failed", "registry", w.sub.addr, "call", "feed", "list_age", age.Round(time.Millisecond), "err", lastErr)
+			for warnAfter < age {
+				warnAfter *= 2
 			}
 		}
 	}
 }
 
-func (f *feeder) close() {
-	for _, by := range f.free {
-		by.Close()
+// close closes the idle connections.
+func (w *agentWatcher) close() {
+	for _, registry := range w.idle {
+		registry.Close()
 	}
 }
 
-// rest waits for a while, or until ctx is done.
-func rest(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// ListAge is how long ago the registry last answered, with news or without. It grows while the registry is silent,
-// and to the length of one watch call (10 s where lists are asked for, 0.25 s where they are pushed) while all is well.
+// ListAge returns the time since the registry last answered, with changes or without. It grows while the registry does not
+// respond. In normal operation it reaches the wait of one watch: 10 s where lists are polled, 0.25 s where they are pushed.
 func (r *Router) ListAge() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.heard)
+	return time.Since(r.lastAnswer)
 }
