--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -9,182 +9,188 @@
 	"time"
 )
 
-type stage uint8
+// attemptState is the progress of an attempt.
+type attemptState uint8
 
 const (
-	waiting stage = iota // for its connection
+	connecting attemptState = iota // not bound to a connection yet
 	writing
 	sent
-	settled
+	completed
 )
 
-// Attempt is an exchange that has been started. Exactly one Result arrives on Done.
+// Attempt is a started exchange. Exactly one Result is sent on Done.
 type Attempt struct {
-	Done   chan Result
-	x      Exchange
-	kept   bool               // on a connection kept from an exchange before
-	wrote  chan struct{}      // closed when the message is out or has failed
-	cancel context.CancelFunc // ends a dial; nil on an idle connection
-
-	mu    sync.Mutex
-	stage stage
-	more  bool // the part with the message's last byte has not begun
-	conn  *conn
+	Done       chan Result
+	exchange   Exchange
+	reused     bool               // sent on a connection that served an earlier exchange
+	writeDone  chan struct{}      // closed when the message has been written or the write has failed
+	cancelDial context.CancelFunc // cancels the dial; nil on a reused connection
+
+	mu           sync.Mutex
+	state        attemptState
+	lastByteHeld bool // the write of the part with the message's last byte has not started
+	conn         *conn
 }
 
-// begun tells, under the lock, that the message's last byte may have gone out, so that the worker may have started.
-func (a *Attempt) begun() bool { return a.stage != waiting && !a.more }
+// maybeSent reports whether the message's last byte may have been written, so that the worker may have started on it.
+// The caller holds a.mu.
+func (a *Attempt) maybeSent() bool { return a.state != connecting && !a.lastByteHeld }
 
-// begin makes the connection the attempt's own and makes the message, unless the attempt has been settled. It does so
-// under the lock: once Abort has returned, what the message is made of may belong to another request.
-func (a *Attempt) begin(c *conn) (message net.Buffers, ok bool) {
+// bind assigns the connection to the attempt and builds the message, unless the attempt has completed. It holds the lock
+// throughout: once Abort has returned, the buffers behind the message may belong to another request.
+func (a *Attempt) bind(c *conn) (message net.Buffers, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stage != waiting {
+	if a.state != connecting {
 		return nil, false
 	}
-	message = a.x.Message()
-	a.stage, a.conn = writing, c
-	a.more = a.x.Rest != nil || size(message) > WholeWrite
+	message = a.exchange.Message()
+	a.state, a.conn = writing, c
+	a.lastByteHeld = a.exchange.Rest != nil || size(message) > WholeWrite
 	return message, true
 }
 
-// settle gives the result once; later calls change nothing.
-func (a *Attempt) settle(isSent bool, err error) {
+// complete sends the result of the attempt. Only the first call has an effect.
+func (a *Attempt) complete(isSent bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settleLocked(isSent, err)
+	a.completeLocked(isSent, err)
 }
 
-func (a *Attempt) settleLocked(isSent bool, err error) {
-	if a.stage != settled {
-		a.stage = settled
-		a.Done <- Result{Tag: a.x.Tag, Sent: isSent, Kept: a.kept, Err: err}
+// completeLocked is complete for callers that hold a.mu.
+func (a *Attempt) completeLocked(isSent bool, err error) {
+	if a.state != completed {
+		a.state = completed
+		a.Done <- Result{Tag: a.exchange.Tag, Sent: isSent, Kept: a.reused, Err: err}
 	}
 }
 
-// broke settles an attempt whose connection ended under it. A write that is still under way may be whole
-// already: until the writer says otherwise it counts as sent, the cautious reading.
-func (a *Attempt) broke(err error) {
+// connectionLost completes an attempt whose connection failed. A write in progress may already have delivered the whole
+// message, so the message counts as sent unless its last byte was held back.
+func (a *Attempt) connectionLost(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settleLocked(a.begun(), err)
+	a.completeLocked(a.maybeSent(), err)
 }
 
-// Abort gives the exchange up. Its connection is closed when Abort returns and is never used again. An
-// answer that has been read whole before stands, and its connection, which may serve another call by now,
-// stays open: that is why the close is done under the attempt's lock.
+// Abort cancels the attempt. When Abort returns, the connection is closed and is never reused. If the response has already
+// been read completely, Abort has no effect: the connection may serve another call by then. The attempt's lock is held
+// during the close so that this cannot change in between.
 func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stage == settled {
+	if a.state == completed {
 		return
 	}
-	if a.cancel != nil {
-		a.cancel()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 	if a.conn != nil {
 		a.conn.Close() // returns once the descriptor is closed, so the next attempt goes out after it
 	}
-	a.settleLocked(a.begun(), ErrAborted)
+	a.completeLocked(a.maybeSent(), ErrAborted)
 }
 
-// WholeWrite is the length up to which a message goes out in one piece. Of a longer one the last byte is kept
-// back until it is certain that no answer has begun.
+// WholeWrite is the size in bytes up to which a message is written in one piece. For a longer message the last byte is
+// held back until it is certain that no response has started.
 const WholeWrite = 8 << 10
 
-// write sends the message. Only the goroutine that made the attempt's connection its own calls it.
+// write sends the message. It is called once, by the goroutine that obtained the connection for the attempt.
 func (a *Attempt) write(c *conn) {
-	defer close(a.wrote)
-	if a.x.Guard != nil && !a.x.Guard.Ready() {
+	defer close(a.writeDone)
+	if a.exchange.Guard != nil && !a.exchange.Guard.Ready() {
 		a.fail(c, false, ErrRevoked)
 		return
 	}
-	asked := time.Now()
-	message, ok := a.begin(c)
-	if !ok { // settled meanwhile: nothing may go out any more
+	start := time.Now()
+	message, ok := a.bind(c)
+	if !ok { // completed in the meantime: nothing may be written any more
 		c.Close()
 		return
 	}
 	switch {
-	case a.x.Rest != nil:
-		a.began(asked)
+	case a.exchange.Rest != nil:
+		a.reportLateStart(start)
 		ok = a.stream(c, message)
 	case size(message) > WholeWrite:
-		a.began(asked)
-		first, last := keepLast(message)
+		a.reportLateStart(start)
+		first, last := splitLastByte(message)
 		ok = a.send(c, first, false) && a.send(c, net.Buffers{last}, true)
 	default:
 		ok = a.send(c, message, true)
-		a.began(asked)
+		a.reportLateStart(start)
 	}
 	if !ok {
 		return
 	}
 	a.mu.Lock()
-	if a.stage == writing {
-		a.stage = sent
+	if a.state == writing {
+		a.state = sent
 	}
 	a.mu.Unlock()
-	if a.x.Written != nil {
-		a.x.Written.Add(1)
+	if a.exchange.Written != nil {
+		a.exchange.Written.Add(1)
 	}
 }
 
-// began tells the guard of a late first byte. Of a message that may wait for its worker it is called right before the write,
-// of a short one right after.
-func (a *Attempt) began(asked time.Time) {
-	if after := time.Since(asked); after >= LateStart && a.x.Guard != nil {
-		a.x.Guard.Began(after)
+// reportLateStart notifies the guard if the first byte is written late. For a message whose write may block on the worker
+// it is called right before the write, for a short one right after it.
+func (a *Attempt) reportLateStart(start time.Time) {
+	if delay := time.Since(start); delay >= LateStart && a.exchange.Guard != nil {
+		a.exchange.Guard.Began(delay)
 	}
 }
 
-// fail ends an attempt whose message has not gone out as it should. The connection is closed before the result is out,
-// so that an attempt which follows that result finds it closed.
+// fail completes an attempt whose message could not be written. The connection is closed before the result is sent, so
+// that a retry triggered by the result starts after the close.
 func (a *Attempt) fail(c *conn, isSent bool, err error) {
 	c.Close()
-	a.settle(isSent, err)
+	a.complete(isSent, err)
 }
 
-// pieceTime bounds the writing of one piece of a long message: a worker that takes none for so long takes no more.
-const pieceTime = 10 * time.Second
+// pieceTimeout limits the write of one piece of a long message. A worker that accepts none of it for this long is
+// considered unable to accept more.
+const pieceTimeout = 10 * time.Second
 
-// stream writes a message that comes in pieces; beginning is what there is of it already.
-func (a *Attempt) stream(c *conn, beginning net.Buffers) bool {
+// stream writes a message that arrives in pieces; initial is the part that is available already. It reports whether the
+// whole message was written.
+func (a *Attempt) stream(c *conn, initial net.Buffers) bool {
 	defer c.SetWriteDeadline(time.Time{})
-	c.SetWriteDeadline(time.Now().Add(pieceTime))
-	if !a.send(c, beginning, false) {
+	c.SetWriteDeadline(time.Now().Add(pieceTimeout))
+	if !a.send(c, initial, false) {
 		return false
 	}
-	whole := false
-	err := a.x.Rest(func(piece net.Buffers, last bool) error {
-		c.SetWriteDeadline(time.Now().Add(pieceTime))
+	finished := false
+	err := a.exchange.Rest(func(piece net.Buffers, last bool) error {
+		c.SetWriteDeadline(time.Now().Add(pieceTimeout))
 		if !a.send(c, piece, last) {
 			return net.ErrClosed
 		}
-		whole = last
+		finished = last
 		return nil
 	})
-	if err != nil || !whole {
-		a.fail(c, false, cmp.Or(err, ErrSource)) // changes nothing where a piece has failed
+	if err != nil || !finished {
+		a.fail(c, false, cmp.Or(err, ErrSource)) // no effect if the write of a piece has failed
 		return false
 	}
 	return true
 }
 
-// send writes a part of the message, unless an answer has begun to come, which cannot be the answer to it.
-func (a *Attempt) send(c *conn, part net.Buffers, isLast bool) bool {
+// send writes a piece of the message, unless response bytes have arrived: they cannot be the response to a message that
+// has not been sent completely.
+func (a *Attempt) send(c *conn, piece net.Buffers, isLast bool) bool {
 	if !c.Quiet() {
 		a.fail(c, false, ErrEarly)
 		return false
 	}
 	if isLast {
 		a.mu.Lock()
-		a.more = false
+		a.lastByteHeld = false
 		a.mu.Unlock()
 	}
-	want := size(part)
-	n, err := part.WriteTo(c.Socket)
+	want := size(piece)
+	n, err := piece.WriteTo(c.Socket)
 	if err != nil {
 		a.fail(c, isLast && n >= want, err)
 		return false
@@ -192,6 +198,7 @@
 	return true
 }
 
+// size returns the number of bytes in the message.
 func size(message net.Buffers) (n int64) {
 	for _, b := range message {
 		n += int64(len(b))
@@ -199,8 +206,8 @@
 	return n
 }
 
-// keepLast cuts the last byte off a message.
-func keepLast(message net.Buffers) (first net.Buffers, last []byte) {
+// splitLastByte splits the message into its last byte and everything before it.
+func splitLastByte(message net.Buffers) (first net.Buffers, last []byte) {
 	first = slices.Clone(message)
 	for i := len(first) - 1; i >= 0; i-- {
 		if n := len(first[i]); n > 0 {
@@ -211,9 +218,9 @@
 	return first, last
 }
 
-// Refused returns an Attempt at x that has ended before it began, for the given reason.
+// Refused returns an Attempt at x that failed with err before anything was sent.
 func Refused(x Exchange, err error) *Attempt {
-	a := &Attempt{Done: x.done(), x: x}
-	a.settle(false, err)
+	a := &Attempt{Done: x.resultChannel(), exchange: x}
+	a.complete(false, err)
 	return a
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -9,78 +9,79 @@
 	"time"
 )
 
-// Client is a client's connection. Its deadlines are set through Receive, Hold and Send alone.
+// Client is a client's connection. Its deadlines are set only through Receive, Hold and Send.
 type Client struct {
 	deadlines
-	Crowded bool // beyond the limit: to be told to come back, not to be served
-
-	listener  *Listener
-	socket    Socket      // the connection as one that can be asked; nil where it cannot
-	waiting   atomic.Bool // its goroutine waits for bytes, so that it holds none that it has not dealt with
-	phase     Phase       // guarded by the listener's mutex, like all below
-	since     time.Time
-	place     *list.Element // in the phase's list, nil while Busy
-	evicted   bool          // closed to make room
-	uncounted bool          // no longer counted as open: it has made room, or is about to
+	Crowded bool // over the connection limit: to be asked to retry later, not to be served
+
+	listener      *Listener
+	socket        Socket      // nil where the connection does not support Socket
+	blockedInRead atomic.Bool // the serving goroutine is blocked in a read, so it holds no unprocessed bytes
+	phase         Phase       // guarded by the listener's mutex, like the fields below
+	phaseSince    time.Time
+	phaseElement  *list.Element // position in the list of its phase, nil while Busy
+	evicted       bool          // closed to make room for another connection
+	uncounted     bool          // no longer counted as open: it has been or is being evicted
 }
 
-// Begun is when the client connected, as early as that may have been.
-func (c *Client) Begun() time.Time { return c.begun }
+// Begun returns the earliest time at which the client may have connected.
+func (c *Client) Begun() time.Time { return c.connectedAt }
 
-// maxLateReads bounds the reads of what had come before a deadline passed.
+// maxLateReads limits the extra reads for bytes that arrived before a deadline passed.
 const maxLateReads = 3
 
-// Read reads what the client has sent. A deadline ends a wait for the client, not the reading of what is there already: a
-// process that is late finds the one passed and the other come, and the client has done its part.
+// Read reads bytes that the client has sent. A deadline limits the wait for the client, not the reading of bytes that have
+// arrived: a process that was scheduled late finds the deadline passed although the client sent its bytes in time.
 func (c *Client) Read(b []byte) (n int, err error) {
-	c.beforeRead()
-	asked := time.Now()
-	c.waiting.Store(true)
+	c.prepareRead()
+	start := time.Now()
+	c.blockedInRead.Store(true)
 	n, err = c.conn.Read(b)
-	c.waiting.Store(false)
-	for tries := 0; tries < maxLateReads && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && Unread(c.conn) && c.takeLate(); tries++ {
+	c.blockedInRead.Store(false)
+	for tries := 0; tries < maxLateReads && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && Unread(c.conn) &&
+		c.allowLateRead(); tries++ {
 		n, err = c.conn.Read(b)
 	}
 	if n > 0 {
-		c.hear(asked)
+		c.recordRead(start)
 	}
 	return n, err
 }
 
-// Send writes all of out, each within the given time or up to the connection's end. It returns an error where not all of it
-// could be written.
-func (c *Client) Send(out net.Buffers, within time.Duration) error {
-	c.beforeWrite(within)
-	_, err := out.WriteTo(c.conn)
+// Send writes all buffers before the timeout or the end of the connection, whichever is earlier. It returns an error if not
+// all bytes could be written.
+func (c *Client) Send(buffers net.Buffers, timeout time.Duration) error {
+	c.prepareWrite(timeout)
+	_, err := buffers.WriteTo(c.conn)
 	return err
 }
 
-// CloseWrite ends the sending: the client sees an end behind all that was sent. It returns errors.ErrUnsupported where the
-// socket layer cannot do so.
+// CloseWrite shuts down the sending side: the client reads EOF after everything that was sent. It returns
+// errors.ErrUnsupported where the socket layer does not support that.
 func (c *Client) CloseWrite() error {
-	half, ok := c.conn.(interface{ CloseWrite() error })
+	conn, ok := c.conn.(interface{ CloseWrite() error })
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	return half.CloseWrite()
+	return conn.CloseWrite()
 }
 
 // Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Reset closes the connection so that the client sees a reset, where the socket layer can do so: a plain end would look like
-// the end of an answer that has no length.
+// Reset closes the connection with a TCP reset where the socket layer supports it. An orderly close would look like the end
+// of a response without a length.
 func (c *Client) Reset() {
-	if lingering, ok := c.conn.(interface{ SetLinger(seconds int) error }); ok {
-		lingering.SetLinger(0)
+	if conn, ok := c.conn.(interface{ SetLinger(seconds int) error }); ok {
+		conn.SetLinger(0)
 	}
 	c.conn.Close()
 }
 
-// Quiet tells that nothing has come that has not been read. Where that cannot be told it returns false.
+// Quiet reports whether there is nothing unread on the connection. It returns false where that is unknown.
 func (c *Client) Quiet() bool { return Quiet(c.conn) }
 
-// Pending looks at the connection without waiting.
+// Pending returns what is unread on the connection, without blocking.
 func (c *Client) Pending() Pending {
 	if c.socket == nil {
 		return Unknown
@@ -91,7 +92,7 @@
 	if c.socket.Quiet() {
 		return Nothing
 	}
-	err := c.socket.Await() // does not wait, since there is something
+	err := c.socket.Await() // does not block, since there is something to read
 	switch {
 	case err == nil:
 		return Bytes
@@ -101,29 +102,29 @@
 	return End
 }
 
-// Await waits until there is something to read and reads nothing. It returns an error where the connection has ended,
-// its read deadline has passed, or the socket layer cannot wait so (errors.ErrUnsupported).
+// Await blocks until there is something to read, without reading it. It returns an error if the connection has ended, its
+// read deadline has passed, or the socket layer does not support this wait (errors.ErrUnsupported).
 func (c *Client) Await() error {
 	if c.socket == nil {
 		return errors.ErrUnsupported
 	}
-	c.beforeRead()
+	c.prepareRead()
 	return c.socket.Await()
 }
 
-// idle tells that no call can be under way in a connection. What has come and not been read counts as one: where the
-// processor is short, a call waits in the kernel for longer than any grace, and a close would reset its connection.
-func (c *Client) idle() bool { return c.waiting.Load() && Quiet(c.conn) }
+// idle reports whether no call can be in progress on the connection. Unread bytes count as a call: when CPU time is scarce,
+// a call can wait in the kernel for longer than any grace period, and closing would reset its connection.
+func (c *Client) idle() bool { return c.blockedInRead.Load() && Quiet(c.conn) }
 
-// quietSince is since when a connection has given no sign of going on. It is called under the lock.
-func (c *Client) quietSince() time.Time {
+// inactiveSince returns when the connection last made progress. The caller holds the listener's mutex.
+func (c *Client) inactiveSince() time.Time {
 	if c.phase == Reading {
-		return Latest(c.since, c.LastByte())
+		return Latest(c.phaseSince, c.LastByte())
 	}
-	return c.since
+	return c.phaseSince
 }
 
-// Enter begins a phase of the connection. It returns false where the connection has been closed to make room.
+// Enter moves the connection to a phase. It returns false if the connection has been closed to make room for another.
 func (c *Client) Enter(phase Phase) bool {
 	l := c.listener
 	l.mu.Lock()
@@ -131,24 +132,24 @@
 	if c.evicted {
 		return false
 	}
-	l.leave(c)
-	c.phase, c.since = phase, time.Now()
+	l.leavePhase(c)
+	c.phase, c.phaseSince = phase, time.Now()
 	if phase != Busy {
-		c.place = l.phases[phase].PushBack(c)
+		c.phaseElement = l.byPhase[phase].PushBack(c)
 	}
 	return true
 }
 
-// Tight tells that so many connections are in use or between two calls that a client had better not keep its
-// own after an answer. Those that are silent or lingering are left out: they are closed soon, whatever others do.
+// Tight reports whether so many connections are busy, reading or idle that this one should not be kept alive after its
+// response. Silent and lingering connections do not count: they are closed soon in any case.
 func (c *Client) Tight() bool {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(l.open-l.phases[Silent].Len()-l.phases[Lingering].Len()) > tightShare*float64(l.limit)
+	return float64(l.openCount-l.byPhase[Silent].Len()-l.byPhase[Lingering].Len()) > nearLimitShare*float64(l.limit)
 }
 
-// Pressed tells that the connection's descriptor is wanted for another.
+// Pressed reports whether the connection's descriptor is needed for another connection.
 func (c *Client) Pressed() bool {
 	l := c.listener
 	l.mu.Lock()
--- a/internal/transport/deadline.go
+++ b/internal/transport/deadline.go
@@ -6,72 +6,73 @@
 	"time"
 )
 
-// Stage says what a client has to send next and by when. Both bounds hold at once: a client that stops is noticed by the
-// time since its last byte, one that goes on too slowly by the end of the stage.
+// Stage limits the reads of one stage of a client's connection. Both limits apply at once: Stall detects a client that has
+// stopped sending, Until one that sends too slowly.
 type Stage struct {
-	Stall  time.Duration // the longest time since the client's last byte; 0 for no such bound
-	Until  time.Time     // the stage's end, however much comes; the zero time for none
-	AtRest bool          // nothing of a request has come yet, so that nothing is owed where the wait is ended
-	Taken  bool          // the request has been handed over already, so that only its own time ends it
+	Stall  time.Duration // the longest time since the client's last byte; 0 for no limit
+	Until  time.Time     // the end of the stage, whatever arrives; the zero time for no limit
+	AtRest bool          // no byte of a request has arrived, so no response is due if the wait is interrupted
+	Taken  bool          // the request has been handed over, so only its own deadline ends it
 }
 
-// deadlines is the one owner of the deadlines of a client's connection. Whoever reads or writes says what bound it wants;
-// the earliest of all bounds is the socket's. The end of the process is one of them, and no stage can put it off.
+// deadlines is the only owner of the deadlines of a client's connection. Readers and writers state the limits that they
+// want; the earliest of all limits becomes the socket's deadline. The end of the process is one of them, and no stage can
+// postpone it.
 //
-// All bounds are kept on the monotonic clock. A deadlines is safe for concurrent use.
+// All limits are kept on the monotonic clock. A deadlines is safe for concurrent use.
 type deadlines struct {
-	conn  net.Conn
-	begun time.Time // when the client connected, as early as that may have been
+	conn        net.Conn
+	connectedAt time.Time // the earliest time at which the client may have connected
 
-	mu        sync.Mutex
-	heard     time.Time // when the last bytes came, the zero time where none have
-	stage     Stage
-	held      bool      // nothing is awaited from the client: a request of its is open
-	woken     bool      // the wait at hand has been ended, up to the next stage
-	restEnded bool      // no further wait at rest
-	end       time.Time // of the process; zero while it is not known
-	readBy    time.Time // what the socket has
-	writeBy   time.Time // what the socket has
+	mu            sync.Mutex
+	lastRead      time.Time // when bytes last arrived, the zero time before the first
+	bounds        Stage
+	suspended     bool      // no bytes are expected from the client while its request is open
+	interrupted   bool      // reads fail until the next stage
+	idleEnded     bool      // no further waits for a next request
+	end           time.Time // of the connection, with the process; zero while unknown
+	readDeadline  time.Time // as set on the socket
+	writeDeadline time.Time // as set on the socket
 }
 
-// longPast is a deadline that has passed.
-var longPast = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past.
+var expiredDeadline = time.Unix(1, 0)
 
-// Receive begins a stage: the reads that follow are bound by it.
-func (d *deadlines) Receive(s Stage) {
+// Receive starts a stage: the reads that follow are subject to its limits.
+func (d *deadlines) Receive(bounds Stage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stage, d.held, d.woken = s, false, false
+	d.bounds, d.suspended, d.interrupted = bounds, false, false
 }
 
-// Hold begins a time in which nothing is awaited from the client.
+// Hold removes the limits of the stage while no bytes are expected from the client.
 func (d *deadlines) Hold() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stage, d.held, d.woken = Stage{}, true, false
+	d.bounds, d.suspended, d.interrupted = Stage{}, true, false
 }
 
-// Wake ends the wait at hand, if there is one, and all further ones up to the next stage.
+// Wake interrupts the current read or wait, if any, and all further ones until the next stage.
 func (d *deadlines) Wake() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.woken = true
-	d.arm()
+	d.interrupted = true
+	d.applyReadDeadline()
 }
 
-// EndRest ends the wait at hand unless a request of the client's has been taken, and all further waits at rest. What has
-// come already is read all the same.
+// EndRest interrupts the current wait unless a request of the client has been accepted, and all further waits for a next
+// request. Bytes that have arrived are still read.
 func (d *deadlines) EndRest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.restEnded = true
-	if !d.held && !d.stage.Taken {
-		d.woken = true
+	d.idleEnded = true
+	if !d.suspended && !d.bounds.Taken {
+		d.interrupted = true
 	}
-	d.arm()
+	d.applyReadDeadline()
 }
 
-// EndBy sets the end of everything on this connection. A later one than is set already changes nothing.
+// EndBy limits all reads and writes on this connection. A limit later than the one already set has no effect.
 func (d *deadlines) EndBy(end time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,95 +80,95 @@
 		return
 	}
 	d.end = end
-	d.arm()
-	if d.writeBy.After(end) {
-		d.writeBy = end
+	d.applyReadDeadline()
+	if d.writeDeadline.After(end) {
+		d.writeDeadline = end
 		d.conn.SetWriteDeadline(end)
 	}
 }
 
-// End is the end of everything on this connection, the zero time where none is known.
+// End returns the limit set by EndBy, the zero time if there is none.
 func (d *deadlines) End() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.end
 }
 
-// bound is when the wait at hand ends. It is called under the lock.
-func (d *deadlines) bound() time.Time {
-	if d.woken || d.restEnded && d.stage.AtRest {
-		return longPast
+// effectiveReadDeadline returns the earliest limit of the current wait. The caller holds d.mu.
+func (d *deadlines) effectiveReadDeadline() time.Time {
+	if d.interrupted || d.idleEnded && d.bounds.AtRest {
+		return expiredDeadline
 	}
-	by := d.stage.Until
-	if d.stage.Stall > 0 {
-		by = earlier(by, d.lastByte().Add(d.stage.Stall))
+	deadline := d.bounds.Until
+	if d.bounds.Stall > 0 {
+		deadline = earlier(deadline, d.lastByteLocked().Add(d.bounds.Stall))
 	}
-	return earlier(by, d.end)
+	return earlier(deadline, d.end)
 }
 
-// arm gives the socket its read deadline. It is called under the lock.
-func (d *deadlines) arm() {
-	if by := d.bound(); !by.Equal(d.readBy) {
-		d.readBy = by
-		d.conn.SetReadDeadline(by)
+// applyReadDeadline sets the socket's read deadline. The caller holds d.mu.
+func (d *deadlines) applyReadDeadline() {
+	if deadline := d.effectiveReadDeadline(); !deadline.Equal(d.readDeadline) {
+		d.readDeadline = deadline
+		d.conn.SetReadDeadline(deadline)
 	}
 }
 
-// beforeRead arms the socket for a read or a wait.
-func (d *deadlines) beforeRead() {
+// prepareRead sets the deadline for a read or a wait.
+func (d *deadlines) prepareRead() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.arm()
+	d.applyReadDeadline()
 }
 
-// takeLate lets a read through whose deadline has passed, unless the process has to end. It tells whether it does.
-func (d *deadlines) takeLate() bool {
+// allowLateRead permits a read after its deadline, unless the end of the connection has passed. It reports whether it did.
+func (d *deadlines) allowLateRead() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.end.IsZero() && !time.Now().Before(d.end) {
 		return false
 	}
-	d.readBy = time.Time{}
+	d.readDeadline = time.Time{}
 	d.conn.SetReadDeadline(time.Time{})
 	return true
 }
 
-// beforeWrite arms the socket for a write that may take so long.
-func (d *deadlines) beforeWrite(within time.Duration) {
+// prepareWrite sets the deadline for a write.
+func (d *deadlines) prepareWrite(timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.writeBy = earlier(time.Now().Add(within), d.end)
-	d.conn.SetWriteDeadline(d.writeBy)
+	d.writeDeadline = earlier(time.Now().Add(timeout), d.end)
+	d.conn.SetWriteDeadline(d.writeDeadline)
 }
 
-// hear notes that bytes have been read by a call that began at a time. Whether the first ones came while it waited is told
-// by how long it took; else they may have come as early as the client itself.
-func (d *deadlines) hear(asked time.Time) {
+// recordRead records that a read which started at start has returned bytes. If the first read returned immediately, its
+// bytes may have arrived as early as the client connected.
+func (d *deadlines) recordRead(start time.Time) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.heard.IsZero() && now.Sub(asked) < atOnce {
-		now = d.begun
+	if d.lastRead.IsZero() && now.Sub(start) < immediateReturn {
+		now = d.connectedAt
 	}
-	d.heard = now
+	d.lastRead = now
 }
 
-// LastByte is when the client's last bytes came, and when it connected where none have.
+// LastByte returns when bytes last arrived from the client, or when it connected if none have.
 func (d *deadlines) LastByte() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lastByte()
+	return d.lastByteLocked()
 }
 
-// lastByte is LastByte, under the lock.
-func (d *deadlines) lastByte() time.Time {
-	if d.heard.IsZero() {
-		return d.begun
+// lastByteLocked is LastByte for callers that hold d.mu.
+func (d *deadlines) lastByteLocked() time.Time {
+	if d.lastRead.IsZero() {
+		return d.connectedAt
 	}
-	return d.heard
+	return d.lastRead
 }
 
-// earlier is the earlier of two times, of which the zero time is none.
+// earlier returns the earlier of two times; the zero time means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -175,13 +176,13 @@
 	return a
 }
 
-// acceptFor has a listener's Accept wait for so long at most from now on. It returns false where the socket layer cannot do so.
-func acceptFor(listener net.Listener, wait time.Duration) bool {
+// setAcceptTimeout limits the wait of a listener's Accept. It returns false where the socket layer does not support that.
+func setAcceptTimeout(listener net.Listener, timeout time.Duration) bool {
 	l, ok := listener.(interface{ SetDeadline(time.Time) error })
-	return ok && l.SetDeadline(time.Now().Add(wait)) == nil
+	return ok && l.SetDeadline(time.Now().Add(timeout)) == nil
 }
 
-// Latest is the later of two times.
+// Latest returns the later of two times.
 func Latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -8,80 +8,81 @@
 	"time"
 )
 
-// Errors that say why an exchange never started or was given up.
+// Errors that say why an exchange did not start or did not finish.
 var (
-	ErrAborted = errors.New("given up by the caller")
-	ErrRevoked = errors.New("no longer wanted when its connection was there")
-	ErrCrowded = errors.New("no descriptor left for a connection")
-	ErrEarly   = errors.New("an answer began before its message was out")
-	ErrSource  = errors.New("its message broke off")
+	ErrAborted = errors.New("aborted by the caller")
+	ErrRevoked = errors.New("revoked before the first byte was sent")
+	ErrCrowded = errors.New("no file descriptor available for a new connection")
+	ErrEarly   = errors.New("response started before the message was sent")
+	ErrSource  = errors.New("message source ended before the message was complete")
 
-	// ErrLocal says that this machine could not open a connection, for want of ports, buffers, descriptors or a route: it
-	// tells nothing of the worker.
-	ErrLocal = errors.New("this machine opens no connection now")
+	// ErrLocal means that this machine could not open a connection because it lacks ports, buffers, descriptors or a route.
+	// It says nothing about the worker.
+	ErrLocal = errors.New("connection failed on the local machine")
 )
 
-// Guard lets an exchange's message go out, and hears how long that took.
+// Guard decides whether an exchange's message may be sent, and is notified if sending starts late.
 type Guard interface {
-	// Ready is asked once the connection is there, right before the first byte. False: nothing may go out any more.
+	// Ready is called when the connection is available, right before the first byte. If it returns false, nothing is sent.
 	Ready() bool
-	// Began is told, where the first byte went out late, by how much after Ready. It may be called on any goroutine.
+	// Began is called if the first byte was written at least LateStart after Ready, with that delay. It may be called on any
+	// goroutine.
 	Began(after time.Duration)
 }
 
-// LateStart is the time between Ready and the first byte from which a Guard hears of it: as long as a client's leaving may
-// go unseen.
+// LateStart is the delay between Ready and the first byte from which the Guard is notified. It equals the time for which a
+// client's disconnect may go unnoticed.
 const LateStart = 100 * time.Millisecond
 
-// Exchange is one message to a worker and the reading of its answer. It is protocol-neutral.
+// Exchange is one message to a worker and the reading of its response. It is protocol-neutral.
 type Exchange struct {
-	Message func() net.Buffers                            // makes the message, at most once, right before its first byte goes out
-	Rest    func(write Write) error                       // writes what follows Message; nil where that is whole
-	Long    bool                                          // Message may be longer than WholeWrite: its writing may have to wait for the worker
-	Guard   Guard                                         // asked once the connection is there; nil: nobody is asked
-	Read    func(r *bufio.Reader) (reuse bool, err error) // reads one answer, whole or up to where More says
-	More    func() bool                                   // tells, after Read, that the answer goes on; nil for never
-	Written *atomic.Int64                                 // counts the exchange once its last byte has gone out; nil for none
-	Tag     int                                           // the caller's own; its Result bears it
-	Done    chan Result                                   // where the Result goes, with room for it; nil for a channel of the attempt's own
+	Message func() net.Buffers                            // builds the message; called at most once, right before the first byte
+	Rest    func(write Write) error                       // writes what follows Message; nil if Message is complete
+	Long    bool                                          // Message may be longer than WholeWrite: its write may block on the worker
+	Guard   Guard                                         // consulted when the connection is available; nil for none
+	Read    func(r *bufio.Reader) (reuse bool, err error) // reads one response, complete or up to the part announced by More
+	More    func() bool                                   // reports, after Read, whether the response continues; nil for never
+	Written *atomic.Int64                                 // incremented when the message has been written; nil for none
+	Tag     int                                           // chosen by the caller and copied to the Result
+	Done    chan Result                                   // receives the Result, needs room for it; nil: the attempt makes one
 }
 
-// Write sends a piece of a message; with last, its end. It returns an error once the exchange is over.
+// Write sends a piece of a message; last marks the final piece. It returns an error once the exchange has ended.
 type Write func(piece net.Buffers, last bool) error
 
-// done is the channel for the exchange's result.
-func (x *Exchange) done() chan Result {
+// resultChannel returns the channel for the exchange's result.
+func (x *Exchange) resultChannel() chan Result {
 	if x.Done != nil {
 		return x.Done
 	}
 	return make(chan Result, 1)
 }
 
-// Result tells how an exchange ended. Sent is false only where the message's last byte certainly never
-// went out, so that the worker cannot have started on it.
+// Result describes how an exchange ended. Sent is false only if the message's last byte was certainly not sent, so that the
+// worker cannot have started on it.
 type Result struct {
-	Tag  int // of the exchange
+	Tag  int // copied from the Exchange
 	Sent bool
-	Kept bool // it went over a connection kept from an exchange before
+	Kept bool // sent on a connection that served an earlier exchange
 	Err  error
-	Rest *Rest // of the answer, where Read has not read it whole; whoever has the result closes it
+	Rest *Rest // the unread rest of the response, nil if there is none; the receiver of the Result must close it
 }
 
-// Rest is the part of an answer that is still to come, and the connection on which it comes. It belongs to one
-// goroutine at a time.
+// Rest is the unread part of a response and the connection that delivers it. It must not be used by several goroutines at
+// once.
 type Rest struct {
-	conn *conn
-	over chan bool
+	conn     *conn
+	reusable chan bool
 }
 
-// ReadBy bounds the reads of the rest.
+// ReadBy sets the deadline for reading the rest.
 func (r *Rest) ReadBy(t time.Time) { r.conn.SetReadDeadline(t) }
 
-// Close ends the exchange: its connection is kept where reuse tells that the answer has been read to its end, else
-// closed. It is called exactly once.
+// Close ends the exchange. If reuse is true, the response has been read to its end and the connection is kept; otherwise the
+// connection is closed. Close must be called exactly once.
 func (r *Rest) Close(reuse bool) {
 	if !reuse {
 		r.conn.Close()
 	}
-	r.over <- reuse
+	r.reusable <- reuse
 }
--- a/internal/transport/inherit.go
+++ b/internal/transport/inherit.go
@@ -9,10 +9,9 @@
 	"syscall"
 )
 
-// Inherit returns a listener on the descriptor fd, which a parent process opened and left open, as the platform does
-// with the clients' socket on an upgrade. The descriptor itself is closed: the listener holds a copy of its own, and
-// closing that leaves the queue of the socket to those that hold it too. The error says where fd is no TCP socket
-// that listens.
+// Inherit returns a listener on the descriptor fd, which a parent process opened and passed on, as the platform does with
+// the clients' socket on an upgrade. fd itself is closed: the listener holds a duplicate, and closing that one leaves the
+// accept queue to the other processes that hold the socket. Inherit returns an error if fd is not a listening TCP socket.
 func (System) Inherit(fd int) (net.Listener, error) {
 	if fd < 0 {
 		return nil, fmt.Errorf("descriptor %d: not a descriptor", fd)
@@ -22,7 +21,7 @@
 		return nil, fmt.Errorf("descriptor %d: not a socket: %w", fd, err)
 	}
 	if listening != 1 {
-		return nil, fmt.Errorf("descriptor %d: a socket that does not listen", fd)
+		return nil, fmt.Errorf("descriptor %d: socket does not listen", fd)
 	}
 	f := os.NewFile(uintptr(fd), "inherited")
 	ln, err := net.FileListener(f)
@@ -32,7 +31,7 @@
 	}
 	if _, ok := ln.(*net.TCPListener); !ok {
 		ln.Close()
-		return nil, fmt.Errorf("descriptor %d: a listener, but not of TCP", fd)
+		return nil, fmt.Errorf("descriptor %d: not a TCP listener", fd)
 	}
 	return ln, nil
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -10,111 +10,113 @@
 	"time"
 )
 
-// Budget counts the descriptors that one use may hold.
+// Budget limits the number of descriptors for one purpose, such as connections to workers.
 type Budget struct {
-	most int64
-	held atomic.Int64
+	limit int64
+	used  atomic.Int64
 }
 
 // NewBudget returns a Budget of n descriptors.
-func NewBudget(n int) *Budget { return &Budget{most: int64(n)} }
+func NewBudget(n int) *Budget { return &Budget{limit: int64(n)} }
 
-func (b *Budget) take() bool {
-	if b.held.Add(1) > b.most {
-		b.held.Add(-1)
+func (b *Budget) acquire() bool {
+	if b.used.Add(1) > b.limit {
+		b.used.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (b *Budget) give() { b.held.Add(-1) }
+func (b *Budget) release() { b.used.Add(-1) }
 
-// Descriptors that belong to no connection that is counted, by what needs them. None of these may wait for a client to go.
+// Descriptors that are reserved for other uses than client and worker connections. None of these uses may have to wait for
+// a client to disconnect.
 const (
 	reservedRuntime   = 8 // the standard streams and the poller
-	reservedAccept    = 2 // the clients' listener, and the client that it has just accepted
-	reservedDiscovery = 6 // calls to discovery, some beside one another
-	reservedFiles     = 8 // the configuration at a reload, what is kept for the next process, what the runtime opens
+	reservedAccept    = 2 // the client listener and a connection that it has just accepted
+	reservedDiscovery = 6 // calls to the registry, some of them concurrent
+	reservedFiles     = 8 // the configuration during a reload, state saved for the next process, files opened by the runtime
 	reserved          = reservedRuntime + reservedAccept + reservedDiscovery + reservedFiles
 
-	leastShared = 16 // for both sides, however few a platform grants
+	minShared = 16 // for clients and workers together, however low the process's limit
 )
 
-// Split divides a process's descriptors, operators of which are for the operators' address. An open call holds one
-// connection to its client and one to a worker, so both sides get about the same; the clients' share is a little larger for
-// those that hold a connection without a call. A tenth of it is kept for connections that are only told to come back.
+// Split divides a process's descriptors between clients and workers after setting aside operators of them for the operator
+// address. An open call holds one connection to its client and one to a worker, so both sides get about the same; the
+// clients' share is slightly larger because of connections without a call. A tenth of it is spare: for connections that are
+// only asked to retry later.
 func Split(sockets, operators int) (clients, spare, workers int) {
-	n := max(sockets-reserved-operators, leastShared)
+	n := max(sockets-reserved-operators, minShared)
 	clients = n * 11 / 20
 	spare = max(clients/10, 1)
 	return clients - spare, spare, n - clients
 }
 
 const (
-	acceptPause = 5 * time.Millisecond // a listener's rest after a failure such as a lack of descriptors
+	acceptRetryDelay = 5 * time.Millisecond // after a failure such as a lack of descriptors
 
-	// tightShare of the limit in use by clients that do ask is when they had better not stay.
-	tightShare = 0.75
+	// nearLimitShare is the share of the connection limit in use above which connections are not kept alive.
+	nearLimitShare = 0.75
 )
 
-// Phase is what a client's connection is at. In all but Busy nothing has been taken from the client that is
-// not answered, and the connection may be closed to make room for another.
+// Phase is the state of a client's connection. In all phases but Busy there is no accepted request without a response, and
+// the connection may be closed to make room for another.
 type Phase uint8
 
-// The phases.
+// The phases of a connection.
 const (
-	Silent    Phase = iota // no byte has come yet
-	Reading                // a call has begun to come
-	Resting                // between two calls
+	Silent    Phase = iota // no byte has arrived yet
+	Reading                // part of a call has arrived
+	Resting                // idle between two calls
 	Lingering              // rejected, waiting for the client to close
-	Busy                   // a call is open
+	Busy                   // a call is in progress
 )
 
-// graces tells for how long a connection in a phase is safe from being closed to make room. A client sends as
-// soon as it is connected, and its call comes within moments; one that has asked may be about to ask again,
-// but one with a new call waits now.
-var graces = [Busy]time.Duration{Silent: 100 * time.Millisecond, Reading: 500 * time.Millisecond,
+// gracePeriods is how long a connection in each phase is protected from eviction. A client usually sends as soon as it is
+// connected, and the rest of its call follows quickly. An idle client may be about to send its next call, but a new
+// client's call is already waiting.
+var gracePeriods = [Busy]time.Duration{Silent: 100 * time.Millisecond, Reading: 500 * time.Millisecond,
 	Resting: 250 * time.Millisecond, Lingering: 0}
 
 const (
-	// soon is how long a new client waits for room at most, before it is served as crowded. The more wait, the less:
-	// they hold the spare connections, and behind them nobody is told anything.
-	soon = 250 * time.Millisecond
+	// maxAdmitWait is the longest time that a new client waits for a place below the limit before it is served as crowded.
+	// The time shrinks as more clients wait: they occupy the spare connections, and the clients behind them get no response.
+	maxAdmitWait = 250 * time.Millisecond
 
-	// slotPause is the least wait between two looks for a slot.
-	slotPause = 10 * time.Millisecond
+	// slotRetryDelay is the shortest wait between two attempts to get a slot.
+	slotRetryDelay = 10 * time.Millisecond
 
-	// atOnce is the time within which a system call returns that had nothing to wait for.
-	atOnce = time.Millisecond
+	// immediateReturn is the duration below which a system call is taken not to have blocked.
+	immediateReturn = time.Millisecond
 
-	// sweepTime is how long Accept waits, once it is to stop, before it takes the system's queue to be empty.
-	sweepTime = 5 * time.Millisecond
+	// emptyQueueTimeout is how long Accept waits, after Stop, before it considers the accept queue empty.
+	emptyQueueTimeout = 5 * time.Millisecond
 
-	// longestQueued bounds the time for which a client is held to have waited in the system's queue.
-	longestQueued = time.Second
+	// maxQueueTime limits the time that a client is assumed to have waited in the accept queue.
+	maxQueueTime = time.Second
 
-	// looks bounds the connections of a phase that are looked at for one that can make room.
-	looks = 32
+	// maxEvictionScan limits the connections of a phase that are examined for one to evict.
+	maxEvictionScan = 32
 )
 
-// Listener hands each client's connection to a goroutine of its own.
+// Listener accepts client connections, limits their number, and serves each in its own goroutine.
 type Listener struct {
-	ln      net.Listener
-	limit   int
-	graces  [Busy]time.Duration
-	slots   chan struct{} // one for each connection, the spare ones too
-	room    chan struct{} // wakes one of the clients that wait for room
-	serving sync.WaitGroup
-
-	mu      sync.Mutex
-	open    int
-	clients map[*Client]struct{} // all that are connected
-	phases  [Busy]list.List      // of *Client, the one longest in its phase first
-	end     time.Time            // of all connections; zero while it is not known
-	stopBy  time.Time            // set by Stop; zero before
+	listener     net.Listener
+	limit        int
+	gracePeriods [Busy]time.Duration
+	slots        chan struct{} // one for each connection, including the spare ones
+	roomFreed    chan struct{} // wakes one of the clients that wait for a place below the limit
+	serving      sync.WaitGroup
+
+	mu           sync.Mutex
+	openCount    int
+	clients      map[*Client]struct{} // all connected clients
+	byPhase      [Busy]list.List      // of *Client, the longest in its phase first
+	end          time.Time            // of all connections; zero while unknown
+	stopDeadline time.Time            // set by Stop; zero until then
 }
 
-// Listen listens on addr for at most limit connections and a few spare ones, which are served as crowded.
+// Listen listens on addr for up to limit connections, and for spare further ones, which are served as crowded.
 func Listen(network Network, addr string, limit, spare int) (*Listener, error) {
 	ln, err := network.Listen(addr)
 	if err != nil {
@@ -123,49 +125,50 @@
 	return Serve(ln, limit, spare), nil
 }
 
-// Serve is Listen on a socket that listens already, such as one that the platform handed over.
+// Serve is Listen for a socket that is listening already, such as one inherited from the platform.
 func Serve(ln net.Listener, limit, spare int) *Listener {
-	return &Listener{ln: ln, limit: limit, graces: graces, slots: make(chan struct{}, limit+spare), room: make(chan struct{}, 1),
-		clients: map[*Client]struct{}{}}
+	return &Listener{listener: ln, limit: limit, gracePeriods: gracePeriods, slots: make(chan struct{}, limit+spare),
+		roomFreed: make(chan struct{}, 1), clients: map[*Client]struct{}{}}
 }
 
-// Addr is where it listens.
-func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
+// Addr returns the listener's address.
+func (l *Listener) Addr() net.Addr { return l.listener.Addr() }
 
-// Accept serves connections until Close or Stop. At the limit a client without a call makes room for a new one; where
-// none does, further clients are served as crowded, and then wait in the system's queue, up to the next that can make room.
-// A client waits for room in a goroutine of its own: those behind it may be told to come back meanwhile. Failures such as a
-// lack of descriptors pass: failed, unless nil, is told the first of several in a row.
-func (l *Listener) Accept(serve func(c *Client), failed func(error)) {
-	empty := time.Now() // when the system's queue was last known to be empty: who came behind it may have waited since
+// Accept serves connections until Close or Stop. At the limit, a connection without a call is evicted to make room for a new
+// one. If none can be evicted, further clients are served as crowded, and beyond the spare connections they wait in the
+// accept queue until another can be evicted. Each client waits for room in its own goroutine, so that those behind it can be
+// asked to retry later in the meantime. Failures such as a lack of descriptors are temporary: onFailure, unless nil, is
+// called with the first of consecutive failures.
+func (l *Listener) Accept(serve func(c *Client), onFailure func(error)) {
+	queueEmptyAt := time.Now() // when the accept queue was last known to be empty; a client may have waited in it since then
 	failing := false
-	for l.sweep() {
-		asked := time.Now()
-		conn, err := l.ln.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) && l.stops() {
-			l.ln.Close()
+	for l.keepAccepting() {
+		start := time.Now()
+		conn, err := l.listener.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) && l.stopping() {
+			l.listener.Close()
 			return
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			if !failing && failed != nil {
-				failed(err)
+			if !failing && onFailure != nil {
+				onFailure(err)
 			}
 			failing = true
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		failing = false
 		now := time.Now()
-		if now.Sub(asked) >= atOnce {
-			empty = now
+		if now.Sub(start) >= immediateReturn {
+			queueEmptyAt = now
 		}
-		begun := Latest(empty, now.Add(-longestQueued))
-		c := &Client{deadlines: deadlines{conn: conn, begun: begun}, socket: AsSocket(conn), listener: l}
-		l.takeSlot()
-		l.join(c)
+		connectedAt := Latest(queueEmptyAt, now.Add(-maxQueueTime))
+		c := &Client{deadlines: deadlines{conn: conn, connectedAt: connectedAt}, socket: AsSocket(conn), listener: l}
+		l.acquireSlot()
+		l.track(c)
 		l.serving.Go(func() {
 			defer l.release(c)
 			l.admit(c)
@@ -174,9 +177,9 @@
 	}
 }
 
-// takeSlot takes one of the slots, which bound the connections. Where none is free it makes a client without a call give
-// its up as soon as one can.
-func (l *Listener) takeSlot() {
+// acquireSlot takes one of the slots that limit the number of connections. If none is free, it evicts a client without a
+// call as soon as possible.
+func (l *Listener) acquireSlot() {
 	for {
 		select {
 		case l.slots <- struct{}{}:
@@ -189,13 +192,13 @@
 		select {
 		case l.slots <- struct{}{}:
 			return
-		case <-time.After(max(wait, slotPause)):
+		case <-time.After(max(wait, slotRetryDelay)):
 		}
 	}
 }
 
-// join counts a connection among those that EndBy ends.
-func (l *Listener) join(c *Client) {
+// track adds a connection to those that are subject to EndBy.
+func (l *Listener) track(c *Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.clients[c] = struct{}{}
@@ -204,7 +207,7 @@
 	}
 }
 
-// EndBy ends every connection by a time, those too that come after the call.
+// EndBy limits the lifetime of all connections, including those accepted later.
 func (l *Listener) EndBy(end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,8 +217,8 @@
 	}
 }
 
-// ResetBusy resets the connections on which a request is still open, and returns how many there were. The process ends with
-// it: whoever serves them need not have noticed when it returns.
+// ResetBusy resets the connections with a request in progress and returns their number. It is called right before the
+// process exits: the serving goroutines may not have noticed when it returns.
 func (l *Listener) ResetBusy() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -228,72 +231,73 @@
 	return n
 }
 
-// admit counts a connection in, and waits for room below the limit as long as some can be made soon.
+// admit counts a connection as open. At the limit it first waits for a place, as long as one can be freed soon.
 func (l *Listener) admit(c *Client) {
 	spare := max(cap(l.slots)-l.limit, 1)
-	end := time.Now().Add(soon * time.Duration(min(cap(l.slots)-len(l.slots)+1, spare)) / time.Duration(spare))
+	deadline := time.Now().Add(maxAdmitWait * time.Duration(min(cap(l.slots)-len(l.slots)+1, spare)) / time.Duration(spare))
 	for {
 		l.mu.Lock()
 		wait := time.Duration(0)
-		if l.open >= l.limit {
-			wait = min(l.evict(), time.Until(end))
+		if l.openCount >= l.limit {
+			wait = min(l.evict(), time.Until(deadline))
 		}
 		if wait <= 0 {
-			l.open++
-			c.Crowded = l.open > l.limit
-			more := l.open < l.limit
+			l.openCount++
+			c.Crowded = l.openCount > l.limit
+			hasRoom := l.openCount < l.limit
 			l.mu.Unlock()
-			if more {
-				l.roomy()
+			if hasRoom {
+				l.signalRoom()
 			}
 			return
 		}
 		l.mu.Unlock()
 		select {
-		case <-l.room:
+		case <-l.roomFreed:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// roomy wakes a client that waits for room.
-func (l *Listener) roomy() {
+// signalRoom wakes a client that waits in admit.
+func (l *Listener) signalRoom() {
 	select {
-	case l.room <- struct{}{}:
+	case l.roomFreed <- struct{}{}:
 	default:
 	}
 }
 
-// evict closes the connection that has been longest in its phase, if its grace is over and no call can be under way in
-// it, and returns 0. It returns how long to wait where one will be able to make room soon, and 0 where none will.
+// evict closes the connection that has been longest in its phase and whose grace period is over, if no call can be in
+// progress on it, and returns 0. Otherwise it returns how long to wait until a connection can be evicted, or 0 if none can
+// be soon. The caller holds l.mu.
 func (l *Listener) evict() time.Duration {
-	wait := soon + 1
-	for phase := range l.phases {
-		for e, n := l.phases[phase].Front(), 0; e != nil && n < looks; e, n = e.Next(), n+1 {
+	wait := maxAdmitWait + 1
+	for phase := range l.byPhase {
+		for e, n := l.byPhase[phase].Front(), 0; e != nil && n < maxEvictionScan; e, n = e.Next(), n+1 {
 			c := e.Value.(*Client)
-			if left := l.graces[phase] - time.Since(c.quietSince()); left > 0 {
-				wait = min(wait, left)
+			if remaining := l.gracePeriods[phase] - time.Since(c.inactiveSince()); remaining > 0 {
+				wait = min(wait, remaining)
 				continue
 			}
 			if c.idle() {
-				l.makeRoom(c)
+				l.evictClient(c)
 				return 0
 			}
 		}
 	}
-	if wait > soon {
+	if wait > maxAdmitWait {
 		return 0
 	}
 	return wait
 }
 
-// makeRoom ends a connection without a call, which no longer counts as open. One with a part of a request is woken, so that
-// it is told so before its end; any other is closed. It is called under the lock.
-func (l *Listener) makeRoom(c *Client) {
-	l.leave(c)
+// evictClient ends a connection without a call and no longer counts it as open. If part of a request has arrived, its read
+// is interrupted so that the client gets a response first; otherwise it is closed. The caller holds l.mu.
+func (l *Listener) evictClient(c *Client) {
+	l.leavePhase(c)
 	if !c.uncounted {
 		c.uncounted = true
-		l.open--
+		l.openCount--
 	}
 	if c.phase == Reading {
 		c.Wake()
@@ -303,73 +307,76 @@
 	c.Close()
 }
 
+// release closes a served connection and frees its slot.
 func (l *Listener) release(c *Client) {
 	c.Close()
 	l.mu.Lock()
-	l.leave(c)
+	l.leavePhase(c)
 	delete(l.clients, c)
 	if !c.uncounted {
-		l.open--
+		l.openCount--
 	}
 	l.mu.Unlock()
 	<-l.slots
-	l.roomy()
+	l.signalRoom()
 }
 
-// leave takes a connection off its phase's list.
-func (l *Listener) leave(c *Client) {
-	if c.place != nil {
-		l.phases[c.phase].Remove(c.place)
-		c.place = nil
+// leavePhase removes a connection from the list of its phase. The caller holds l.mu.
+func (l *Listener) leavePhase(c *Client) {
+	if c.phaseElement != nil {
+		l.byPhase[c.phase].Remove(c.phaseElement)
+		c.phaseElement = nil
 	}
 }
 
-// CloseResting ends the wait of the connections that rest between two calls, as a sidecar that is drained does: their
-// clients are to go elsewhere, and nothing of theirs is open here. Whoever serves them ends them in order; one whose next
-// call has come already gets its answer first. It returns how many there are.
+// CloseResting interrupts the wait of all connections that are idle between two calls and returns their number. It is used
+// when the sidecar is drained, to move clients elsewhere. The serving goroutines close the connections in an orderly way; a
+// client whose next call has already arrived gets its response first.
 func (l *Listener) CloseResting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	resting := &l.phases[Resting]
-	for e := resting.Front(); e != nil; e = e.Next() {
+	idle := &l.byPhase[Resting]
+	for e := idle.Front(); e != nil; e = e.Next() {
 		e.Value.(*Client).EndRest()
 	}
-	return resting.Len()
+	return idle.Len()
 }
 
-// Close stops listening at once, and resets the clients that wait in the system's queue; connections go on.
-func (l *Listener) Close() error { return l.ln.Close() }
+// Close stops listening immediately and resets the clients in the accept queue. Accepted connections are not affected.
+func (l *Listener) Close() error { return l.listener.Close() }
 
-// Stop has Accept stop listening as soon as no client waits in the system's queue, also where accepting them fails for a
-// moment, and by the given time at the latest. Their requests have been sent, and a close would reset them.
-func (l *Listener) Stop(by time.Time) {
+// Stop makes Accept stop listening as soon as the accept queue is empty, and by the deadline at the latest. Clients in the
+// queue may already have sent their requests, and a close would reset them, so accepting continues even after temporary
+// failures.
+func (l *Listener) Stop(deadline time.Time) {
 	l.mu.Lock()
-	l.stopBy = by
+	l.stopDeadline = deadline
 	l.mu.Unlock()
-	l.sweep()
+	l.keepAccepting()
 }
 
-func (l *Listener) stops() bool {
+// stopping reports whether Stop has been called.
+func (l *Listener) stopping() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.stopBy.IsZero()
+	return !l.stopDeadline.IsZero()
 }
 
-// sweep gives Accept, where it is to stop, a moment more for the system's queue. It closes the listener and returns false
-// when the time for that is over.
-func (l *Listener) sweep() bool {
+// keepAccepting reports whether Accept should continue. After Stop it limits the wait of the next Accept to
+// emptyQueueTimeout; once the deadline has passed, it closes the listener and returns false.
+func (l *Listener) keepAccepting() bool {
 	l.mu.Lock()
-	by := l.stopBy
+	deadline := l.stopDeadline
 	l.mu.Unlock()
-	if by.IsZero() {
+	if deadline.IsZero() {
 		return true
 	}
-	if !time.Now().Before(by) || !acceptFor(l.ln, sweepTime) {
-		l.ln.Close()
+	if !time.Now().Before(deadline) || !setAcceptTimeout(l.listener, emptyQueueTimeout) {
+		l.listener.Close()
 		return false
 	}
 	return true
 }
 
-// Wait returns when the last connection has been served.
+// Wait blocks until all connections have been served.
 func (l *Listener) Wait() { l.serving.Wait() }
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	if clients, spare, workers := Split(0, 34); clients+spare+workers != leastShared {
+	if clients, spare, workers := Split(0, 34); clients+spare+workers != minShared {
 		t.Errorf("of none: %d for clients, %d spare, %d for workers", clients, spare, workers)
 	}
 }
@@ -55,18 +55,18 @@
 			}
 			defer l.Close()
 			last := test.phases[len(test.phases)-1]
-			for i := range l.graces {
-				l.graces[i] = time.Hour
+			for i := range l.gracePeriods {
+				l.gracePeriods[i] = time.Hour
 			}
 			if last != Busy {
-				l.graces[last] = 0
+				l.gracePeriods[last] = 0
 			}
 			served := make(chan *Client)
 			hold := make(chan struct{})
 			go l.Accept(func(c *Client) {
 				served <- c
 				if test.unread {
-					c.waiting.Store(true) // as if its bytes had come just now
+					c.blockedInRead.Store(true) // as if its bytes had come just now
 					<-hold
 				}
 				io.Copy(io.Discard, c)
@@ -76,7 +76,7 @@
 			if test.unread {
 				first.Write([]byte("x"))
 			}
-			for !one.waiting.Load() || test.unread && one.Quiet() {
+			for !one.blockedInRead.Load() || test.unread && one.Quiet() {
 				time.Sleep(time.Millisecond)
 			}
 			for _, phase := range test.phases {
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -5,44 +5,42 @@
 	"net"
 )
 
-// Network is where connections come from: the system's sockets, or a network in memory.
+// Network listens and dials: on the operating system's sockets, or on an in-memory network.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
-	// Dial connects to a worker or the registry; it returns when ctx is done at the latest.
+	// Dial connects to a worker or the registry. It returns no later than ctx is done.
 	Dial(ctx context.Context, addr string) (Socket, error)
 }
 
-// Socket is a connection that can be asked about its reading side without reading.
+// Socket is a connection whose readable state can be checked without reading.
 type Socket interface {
 	net.Conn
-	// Quiet tells that nothing has come that has not been read: not its end, and no bytes.
+	// Quiet reports whether there is nothing unread: neither bytes nor the end of the connection.
 	Quiet() bool
-	// Await waits until there is something to read and reads nothing. It returns an error where the connection
-	// has ended or its read deadline has passed (os.ErrDeadlineExceeded).
+	// Await blocks until there is something to read, without reading it. It returns an error if the connection has ended
+	// or its read deadline has passed (os.ErrDeadlineExceeded).
 	Await() error
 }
 
-// Pending is what lies unread on a client's connection.
+// Pending describes what is unread on a client's connection.
 type Pending uint8
 
-// What may lie there.
+// The possible values of Pending.
 const (
-	Unknown Pending = iota // it cannot be told
+	Unknown Pending = iota // the state cannot be determined
 	Nothing
-	Bytes // an end may lie behind them
-	End   // the client has closed or reset the connection, and left no bytes
+	Bytes // the end of the connection may follow
+	End   // the client has closed or reset the connection, and no bytes are left
 )
 
-// Quiet tells that nothing has come on a client's connection that has not been read. Where that cannot be told it returns
-// false.
+// Quiet reports whether there is nothing unread on the connection. It returns false where that is unknown.
 func Quiet(c net.Conn) bool {
-	is, told := quiet(c)
+	is, told := checkQuiet(c)
 	return is && told
 }
 
-// Unread tells that bytes or an end have come on a client's connection that have not been read. Where that cannot be told
-// it returns false.
+// Unread reports whether bytes or the end of the connection are waiting to be read. It returns false where that is unknown.
 func Unread(c net.Conn) bool {
-	is, told := quiet(c)
+	is, told := checkQuiet(c)
 	return !is && told
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,5 +1,7 @@
-// Package transport owns the sockets: it listens, dials, keeps idle connections to the workers, and
-// counts descriptors. It knows no protocol; what goes over a connection is the caller's.
+// Package transport manages network connections: it accepts clients, dials workers, pools idle connections to the workers
+// and limits the use of file descriptors. It is independent of the protocol spoken over a connection.
+//
+// A worker is a backend, a call is a client's request, and the registry is the service discovery.
 package transport
 
 import (
@@ -11,66 +13,67 @@
 	"time"
 )
 
-// Peer is the other side of a connection: one life of a process at an address. What was connected to another
-// process there before is no use to it.
+// Peer identifies one incarnation of a worker process at an address. A connection to an earlier process at the same address
+// is not reused for it.
 type Peer struct {
 	Addr string
 	Life uint64
 }
 
-// conn is a connection to a worker. Its own goroutine reads it all its life, so that a worker's close is
-// seen while the connection is idle.
+// conn is a connection to a worker. A dedicated goroutine reads it for its whole lifetime, so that a close by the worker is
+// noticed while the connection is idle.
 type conn struct {
 	Socket
-	peer Peer
-	r    *bufio.Reader
-	cur  *Attempt // guarded by the pool; nil while idle
-	dead bool     // guarded by the pool: ended while idle
-	lent bool     // guarded by the pool: evicted, its descriptor counts for the connection that replaces it
+	peer              Peer
+	reader            *bufio.Reader
+	current           *Attempt // guarded by the pool's mutex; nil while idle
+	ended             bool     // guarded by the pool's mutex: closed while idle
+	budgetTransferred bool     // guarded by the pool's mutex: evicted, the connection that replaces it holds its descriptor
 }
 
-// Pool holds the connections to the workers: one exchange at a time on each, idle ones kept for reuse.
+// Pool manages the connections to the workers. Each connection carries one exchange at a time; idle ones are kept for reuse.
 type Pool struct {
-	network     Network
-	budget      *Budget
-	connectTime time.Duration
-	idleTime    time.Duration // a connection idle for longer is closed, well before the worker would
+	network        Network
+	budget         *Budget
+	connectTimeout time.Duration
+	idleTimeout    time.Duration // after which an idle connection is closed, well before the worker would close it
 
 	mu   sync.Mutex
-	idle map[Peer][]*conn // newest last
+	idle map[Peer][]*conn // most recently used last
 }
 
-// NewPool returns a Pool that connects over network and takes its descriptors from budget.
-func NewPool(network Network, budget *Budget, connectTime, idleTime time.Duration) *Pool {
-	return &Pool{network: network, budget: budget, connectTime: connectTime, idleTime: idleTime, idle: map[Peer][]*conn{}}
+// NewPool returns a Pool that dials on network and counts its descriptors against budget.
+func NewPool(network Network, budget *Budget, connectTimeout, idleTimeout time.Duration) *Pool {
+	return &Pool{network: network, budget: budget, connectTimeout: connectTimeout, idleTimeout: idleTimeout, idle: map[Peer][]*conn{}}
 }
 
-// readBuffer holds a worker's whole head; longer heads are malformed.
-const readBuffer = 8 << 10
+// readBufferSize is the size in bytes of the read buffer, and thus the maximum size of a worker's response head; longer
+// heads are malformed.
+const readBufferSize = 8 << 10
 
-// Start sends an exchange to a worker on an idle connection, or on a new one.
+// Start sends an exchange to a worker on an idle connection or, if there is none, on a new one.
 func (p *Pool) Start(peer Peer, x Exchange) *Attempt {
-	a := &Attempt{Done: x.done(), x: x, wrote: make(chan struct{})}
+	a := &Attempt{Done: x.resultChannel(), exchange: x, writeDone: make(chan struct{})}
 	if c := p.reuse(peer, a); c != nil {
 		c.SetReadDeadline(time.Time{})
-		if x.Rest != nil || x.Long { // takes as long as its source, or the worker: the caller must not wait for it
+		if x.Rest != nil || x.Long { // may block on the message's source or the worker, and the caller must not wait for that
 			go a.write(c)
 		} else {
 			a.write(c)
 		}
 		return a
 	}
-	if !p.budget.take() && !p.evict() {
-		a.settle(false, ErrCrowded)
+	if !p.budget.acquire() && !p.evict() {
+		a.complete(false, ErrCrowded)
 		return a
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), p.connectTime)
-	a.cancel = cancel
-	go p.open(ctx, peer, a)
+	ctx, cancel := context.WithTimeout(context.Background(), p.connectTimeout)
+	a.cancelDial = cancel
+	go p.connect(ctx, peer, a)
 	return a
 }
 
-// reuse makes an idle connection the attempt's own, if there is one on which nothing has come.
+// reuse assigns an idle connection without unread data to the attempt. It returns nil if there is none.
 func (p *Pool) reuse(peer Peer, a *Attempt) *conn {
 	for {
 		p.mu.Lock()
@@ -84,9 +87,9 @@
 			continue
 		}
 		p.mu.Lock()
-		alive := !c.dead
+		alive := !c.ended
 		if alive {
-			c.cur, a.kept = a, true
+			c.current, a.reused = a, true
 		}
 		p.mu.Unlock()
 		if alive {
@@ -95,49 +98,50 @@
 	}
 }
 
-func (p *Pool) open(ctx context.Context, peer Peer, a *Attempt) {
-	defer a.cancel()
+// connect dials the worker, sends the attempt's message and then reads the connection until it ends.
+func (p *Pool) connect(ctx context.Context, peer Peer, a *Attempt) {
+	defer a.cancelDial()
 	socket, err := p.network.Dial(ctx, peer.Addr)
 	if err != nil {
-		p.budget.give()
-		a.settle(false, err)
+		p.budget.release()
+		a.complete(false, err)
 		return
 	}
-	c := &conn{Socket: socket, peer: peer, r: bufio.NewReaderSize(socket, readBuffer), cur: a}
+	c := &conn{Socket: socket, peer: peer, reader: bufio.NewReaderSize(socket, readBufferSize), current: a}
 	a.write(c)
-	p.serve(c)
+	p.readLoop(c)
 }
 
-// serve reads a connection until it ends: answers while it has an exchange, the worker's close while idle.
-func (p *Pool) serve(c *conn) {
+// readLoop reads a connection until it ends: responses during an exchange, the worker's close while idle.
+func (p *Pool) readLoop(c *conn) {
 	defer p.close(c)
 	for {
 		err := c.Await()
 		p.mu.Lock()
-		a := c.cur
-		if a == nil { // retired by its deadline, closed by the worker, or bytes that nobody asked for
-			p.forget(c)
-			c.dead = true
+		a := c.current
+		if a == nil { // idle timeout, close by the worker, or unsolicited bytes
+			p.removeIdle(c)
+			c.ended = true
 			p.mu.Unlock()
 			return
 		}
 		p.mu.Unlock()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.SetReadDeadline(time.Time{}) // taken into use just as its idle time ended
+			c.SetReadDeadline(time.Time{}) // reused just as its idle timeout expired
 			continue
 		}
-		<-a.wrote // what came before that was seen there
+		<-a.writeDone // write has checked for bytes that arrived before that
 		reuse := false
 		if err == nil {
-			reuse, err = a.x.Read(c.r)
+			reuse, err = a.exchange.Read(c.reader)
 		}
 		if err != nil {
-			c.Close() // before the result is out: what follows it goes out after
-			a.broke(err)
+			c.Close() // before the result is sent, so that a retry starts after the close
+			a.connectionLost(err)
 			return
 		}
-		if a.x.More != nil && a.x.More() {
-			if !p.hand(c, a) {
+		if a.exchange.More != nil && a.exchange.More() {
+			if !p.handOff(c, a) {
 				return
 			}
 			continue
@@ -148,61 +152,63 @@
 	}
 }
 
+// close closes a connection and releases its share of the budget unless another connection has taken it over.
 func (p *Pool) close(c *conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !c.lent {
-		p.budget.give()
+	if !c.budgetTransferred {
+		p.budget.release()
 	}
 }
 
-// finish settles an exchange whose answer has been read, and tells whether its connection is idle again. It
-// is idle before the result is out, so that whoever acts on the result finds it, and both happen under the
-// attempt's lock, so that an Abort can no longer close it.
+// finish completes an exchange whose response has been read, and reports whether its connection is idle again. The
+// connection becomes idle before the result is sent, so that the receiver of the result can reuse it. Both happen under the
+// attempt's lock, so that Abort cannot close the connection in between.
 func (p *Pool) finish(c *conn, a *Attempt, reuse bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stage == settled {
+	if a.state == completed {
 		return false
 	}
-	kept := reuse && p.release(c)
-	if !kept {
-		c.Close() // before the result is out: what follows it goes out after
+	reusable := reuse && p.makeIdle(c)
+	if !reusable {
+		c.Close() // before the result is sent, so that a retry starts after the close
 	}
-	a.settleLocked(true, nil)
-	return kept
+	a.completeLocked(true, nil)
+	return reusable
 }
 
-// hand settles an exchange whose answer goes on, waits until the rest has been dealt with, and tells whether its
+// handOff completes an exchange whose response continues, waits until the Rest has been closed, and reports whether the
 // connection is idle again.
-func (p *Pool) hand(c *conn, a *Attempt) bool {
-	rest := &Rest{conn: c, over: make(chan bool, 1)}
+func (p *Pool) handOff(c *conn, a *Attempt) bool {
+	rest := &Rest{conn: c, reusable: make(chan bool, 1)}
 	a.mu.Lock()
-	if a.stage == settled {
+	if a.state == completed {
 		a.mu.Unlock()
 		return false
 	}
-	a.stage = settled
-	a.Done <- Result{Tag: a.x.Tag, Sent: true, Kept: a.kept, Rest: rest}
+	a.state = completed
+	a.Done <- Result{Tag: a.exchange.Tag, Sent: true, Kept: a.reused, Rest: rest}
 	a.mu.Unlock()
-	return <-rest.over && p.release(c)
+	return <-rest.reusable && p.makeIdle(c)
 }
 
-// release makes a connection idle again.
-func (p *Pool) release(c *conn) bool {
-	if c.r.Buffered() > 0 || p.idleTime <= 0 {
+// makeIdle returns a connection to the pool and reports whether it was kept.
+func (p *Pool) makeIdle(c *conn) bool {
+	if c.reader.Buffered() > 0 || p.idleTimeout <= 0 {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.cur = nil
-	c.SetReadDeadline(time.Now().Add(p.idleTime))
+	c.current = nil
+	c.SetReadDeadline(time.Now().Add(p.idleTimeout))
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 	return true
 }
 
-// takeIdle returns the connection used last, since it is the least likely to be near its end.
+// takeIdle removes and returns the most recently used idle connection, which is the least likely to be close to its idle
+// timeout. The caller holds p.mu.
 func (p *Pool) takeIdle(peer Peer) *conn {
 	list := p.idle[peer]
 	if len(list) == 0 {
@@ -213,6 +219,7 @@
 	return c
 }
 
+// setIdle replaces the idle connections to a worker. The caller holds p.mu.
 func (p *Pool) setIdle(peer Peer, list []*conn) {
 	if len(list) == 0 {
 		delete(p.idle, peer)
@@ -221,7 +228,8 @@
 	}
 }
 
-func (p *Pool) forget(c *conn) {
+// removeIdle removes a connection from the idle ones. The caller holds p.mu.
+func (p *Pool) removeIdle(c *conn) {
 	list := p.idle[c.peer]
 	for i, other := range list {
 		if other == c {
@@ -231,12 +239,13 @@
 	}
 }
 
-// evict closes one idle connection to make room for another worker's, which takes over its descriptor.
+// evict closes one idle connection to make room for a new one, which takes over its share of the budget. It reports whether
+// there was one.
 func (p *Pool) evict() bool {
 	p.mu.Lock()
 	for peer, list := range p.idle {
 		p.setIdle(peer, list[1:])
-		list[0].lent = true
+		list[0].budgetTransferred = true
 		p.mu.Unlock()
 		list[0].Close()
 		return true
@@ -245,7 +254,7 @@
 	return false
 }
 
-// CloseIdle closes the idle connections to a worker.
+// CloseIdle closes all idle connections to a worker.
 func (p *Pool) CloseIdle(peer Peer) {
 	p.mu.Lock()
 	list := p.idle[peer]
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -94,7 +94,7 @@
 	b := p.Start(other, message(true))
 	reply(<-others)
 	check(t, b, true, nil)
-	if n := p.budget.held.Load(); n != 1 {
+	if n := p.budget.used.Load(); n != 1 {
 		t.Errorf("%d descriptors counted, 1 held", n)
 	}
 	io.Copy(io.Discard, c) // ends: the first connection was closed
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	idle := &conn{Socket: socket, peer: addr, r: bufio.NewReader(socket)} // one that no goroutine reads yet
+	idle := &conn{Socket: socket, peer: addr, reader: bufio.NewReader(socket)} // one that no goroutine reads yet
 	p.idle[addr] = []*conn{idle}
 	io.WriteString(<-conns, "a second copy\n")
 	if err := idle.Await(); err != nil {
--- a/internal/transport/quiet_wasip1.go
+++ b/internal/transport/quiet_wasip1.go
@@ -2,15 +2,15 @@
 
 import "net"
 
-// quiet tells that nothing has come on a client's connection that has not been read, where that can be told.
-func quiet(c net.Conn) (is, told bool) {
+// checkQuiet reports whether there is nothing unread on the connection, and whether that is known.
+func checkQuiet(c net.Conn) (isQuiet, known bool) {
 	if q, ok := c.(interface{ Quiet() bool }); ok {
 		return q.Quiet(), true
 	}
 	return false, false
 }
 
-// AsSocket is a client's connection as a Socket, nil where it is none.
+// AsSocket returns an accepted connection as a Socket, nil if it does not implement one.
 func AsSocket(c net.Conn) Socket {
 	s, _ := c.(Socket)
 	return s
--- a/internal/transport/system.go
+++ b/internal/transport/system.go
@@ -11,7 +11,7 @@
 	"syscall"
 )
 
-// System is the network of the system's sockets.
+// System is the Network of the operating system's TCP sockets.
 type System struct{}
 
 // Listen listens on a TCP address.
@@ -33,13 +33,13 @@
 	return &socket{t, raw}, nil
 }
 
-// localFailures are the errors of socket, bind and connect that have their cause on this machine (connect(2), socket(2)).
-var localFailures = []error{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.ENETUNREACH,
-	syscall.ENETDOWN, syscall.EAGAIN}
+// localErrors are the errors of socket, bind and connect whose cause is on this machine (connect(2), socket(2)).
+var localErrors = []error{syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE,
+	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN}
 
-// DialError marks a failure that has its cause on this machine with ErrLocal.
+// DialError wraps an error whose cause is on this machine with ErrLocal and returns any other unchanged.
 func DialError(err error) error {
-	for _, local := range localFailures {
+	for _, local := range localErrors {
 		if errors.Is(err, local) {
 			return fmt.Errorf("%w: %w", ErrLocal, err)
 		}
@@ -47,13 +47,13 @@
 	return err
 }
 
-// socket is a TCP connection. Embedding keeps its gathered writes.
+// socket is a TCP connection. Embedding *net.TCPConn preserves its vectored writes (net.Buffers).
 type socket struct {
 	*net.TCPConn
 	raw syscall.RawConn
 }
 
-// Await waits until there is something to read, and reads nothing: until then Quiet sees all that has come.
+// Await blocks until there is something to read, without reading it, so that Quiet still sees everything that has arrived.
 func (s *socket) Await() error {
 	var state error
 	err := s.raw.Read(func(fd uintptr) bool {
@@ -66,15 +66,15 @@
 	return state
 }
 
-// Quiet tells that nothing has come on an idle connection: not its end, and no bytes, which would be taken for
-// the answer to the next message.
+// Quiet reports whether there is nothing unread: neither the end of the connection nor bytes, which on an idle connection
+// would be mistaken for the response to the next message.
 func (s *socket) Quiet() bool {
 	state := error(nil)
 	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
 	return err == nil && errors.Is(state, syscall.EAGAIN)
 }
 
-// Pending looks at the connection without waiting.
+// Pending returns what is unread on the connection, without blocking.
 func (s *socket) Pending() Pending {
 	state := error(nil)
 	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
@@ -89,7 +89,7 @@
 	return End
 }
 
-// AsSocket is a connection that was accepted as a Socket, nil where it is none.
+// AsSocket returns an accepted connection as a Socket, nil if it is neither a Socket nor a TCP connection.
 func AsSocket(c net.Conn) Socket {
 	if s, ok := c.(Socket); ok {
 		return s
@@ -105,8 +105,8 @@
 	return &socket{t, raw}
 }
 
-// quiet tells that nothing has come on a client's connection that has not been read, where that can be told.
-func quiet(c net.Conn) (is, told bool) {
+// checkQuiet reports whether there is nothing unread on the connection, and whether that is known.
+func checkQuiet(c net.Conn) (isQuiet, known bool) {
 	if q, ok := c.(interface{ Quiet() bool }); ok {
 		return q.Quiet(), true
 	}
@@ -117,7 +117,8 @@
 	return s.Quiet(), true
 }
 
-// peek returns nil where there are bytes to read, EAGAIN where there is nothing yet.
+// peek returns nil if there are bytes to read, EAGAIN if there is nothing yet, and io.EOF or another error if the
+// connection has ended.
 func peek(fd uintptr) error {
 	var b [1]byte
 	for {
