--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -13,13 +13,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What no client may take is set aside whatever the platform grants, and all of the rest is given out.
-func TestDescriptorsSetAside(t *testing.T) {
+// The reserved descriptors are set aside for every process limit, and all others are distributed.
+func TestDescriptorSplit(t *testing.T) {
 	for _, sockets := range []int{128, 512, 1024, 4096} {
 		for _, operators := range []int{0, 34} {
 			clients, spare, workers := Split(sockets, operators)
 			if free := sockets - clients - spare - workers; free != reserved+operators {
-				t.Errorf("of %d descriptors %d are set aside, %d for operators among them", sockets, free, operators)
+				t.Errorf("of %d descriptors %d are reserved, including %d for operators", sockets, free, operators)
 			}
 			if spare < 1 || clients < workers/2 || workers < clients/2 {
 				t.Errorf("of %d descriptors: %d for clients, %d spare, %d for workers", sockets, clients, spare, workers)
@@ -27,26 +27,26 @@
 		}
 	}
 	if clients, spare, workers := Split(0, 34); clients+spare+workers != minShared {
-		t.Errorf("of none: %d for clients, %d spare, %d for workers", clients, spare, workers)
+		t.Errorf("of no descriptors: %d for clients, %d spare, %d for workers", clients, spare, workers)
 	}
 }
 
-// Connections without a call must not keep others out, and one with a call must never be closed for others.
-func TestRoom(t *testing.T) {
+// Connections without a call must not keep new clients out, and one with a call must never be evicted.
+func TestEvictionByPhase(t *testing.T) {
 	for name, test := range map[string]struct {
-		phases []Phase // entered one after another; the grace of the last is over, that of the others is not
-		want   []bool  // the first closed, the second crowded
-		unread bool    // something has come from the first that its goroutine has not come to
+		phases []Phase // entered in this order; only the grace period of the last is over
+		want   []bool  // whether the first is evicted, whether the second is crowded
+		unread bool    // bytes from the first have arrived that its goroutine has not read
 	}{
 		"silent":                         {[]Phase{Silent}, []bool{true, false}, false},
-		"half a call":                    {[]Phase{Silent, Reading}, []bool{true, false}, false},
-		"asked once and stayed":          {[]Phase{Silent, Reading, Busy, Resting}, []bool{true, false}, false},
+		"partial call":                   {[]Phase{Silent, Reading}, []bool{true, false}, false},
+		"idle after a call":              {[]Phase{Silent, Reading, Busy, Resting}, []bool{true, false}, false},
 		"rejected":                       {[]Phase{Silent, Reading, Lingering}, []bool{true, false}, false},
 		"with a call":                    {[]Phase{Silent, Reading, Busy}, []bool{false, true}, false},
-		"with a next call":               {[]Phase{Silent, Reading, Busy, Resting, Reading, Busy}, []bool{false, true}, false},
-		"silent, its call unread":        {[]Phase{Silent}, []bool{false, true}, true},
-		"half a call, the rest unread":   {[]Phase{Silent, Reading}, []bool{false, true}, true},
-		"between calls, the next unread": {[]Phase{Silent, Reading, Busy, Resting}, []bool{false, true}, true},
+		"with a second call":             {[]Phase{Silent, Reading, Busy, Resting, Reading, Busy}, []bool{false, true}, false},
+		"silent with unread bytes":       {[]Phase{Silent}, []bool{false, true}, true},
+		"partial call with unread bytes": {[]Phase{Silent, Reading}, []bool{false, true}, true},
+		"idle with unread bytes":         {[]Phase{Silent, Reading, Busy, Resting}, []bool{false, true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := Listen(System{}, "127.0.0.1:0", 1, 1)
@@ -66,7 +66,7 @@
 			go l.Accept(func(c *Client) {
 				served <- c
 				if test.unread {
-					c.blockedInRead.Store(true) // as if its bytes had come just now
+					c.blockedInRead.Store(true) // as if its bytes had arrived during the read
 					<-hold
 				}
 				io.Copy(io.Discard, c)
@@ -86,7 +86,7 @@
 			two := <-served
 			close(hold)
 			if !test.want[0] {
-				one.Close() // else its end is the eviction's work
+				one.Close() // otherwise the eviction closes it
 			}
 			io.Copy(io.Discard, first)
 			if diff := cmp.Diff(test.want, []bool{one.uncounted, two.Crowded}); diff != "" {
@@ -96,8 +96,9 @@
 	}
 }
 
-// A deadline that has passed while bytes lay unread is the process's own lateness; one that passed before them is the client's.
-func TestLateReading(t *testing.T) {
+// A read after its deadline returns bytes that arrived before: then the process was scheduled late, not the client. Without
+// unread bytes it fails with a timeout.
+func TestReadAfterDeadlineReturnsUnreadBytes(t *testing.T) {
 	l, err := Listen(System{}, "127.0.0.1:0", 1, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -131,11 +132,11 @@
 	return c
 }
 
-// failingListener is a listener whose Accept fails while it is told to, and takes no connection.
+// failingListener is a listener whose Accept fails while fails is set.
 type failingListener struct {
 	*net.TCPListener
 	fails  atomic.Bool
-	failed chan struct{} // an Accept has failed
+	failed chan struct{} // receives when an Accept has failed
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
@@ -149,11 +150,11 @@
 	return f.TCPListener.Accept()
 }
 
-// Clients that have come by the end are served, also where none could be accepted then; after that nobody gets in.
-func TestStopServesWhoHasCome(t *testing.T) {
+// Clients that are in the accept queue at Stop are served, even if Accept fails at that time; later clients are refused.
+func TestStopServesQueuedClients(t *testing.T) {
 	const (
 		clients = 5
-		long    = 10 * time.Second
+		timeout = 10 * time.Second
 	)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,7 +167,7 @@
 	go func() {
 		defer close(accepted)
 		l.Accept(func(c *Client) {
-			c.Receive(Stage{Until: time.Now().Add(long)})
+			c.Receive(Stage{Until: time.Now().Add(timeout)})
 			io.CopyN(c.conn, c, 1)
 		}, nil)
 	}()
@@ -177,15 +178,15 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(long))
+		c.SetDeadline(time.Now().Add(timeout))
 		if _, err := io.WriteString(c, "x"); err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
 	}
 	<-f.failed
-	l.Stop(time.Now().Add(long))
-	<-f.failed // it still tries
+	l.Stop(time.Now().Add(timeout))
+	<-f.failed // Accept is still retrying
 	f.fails.Store(false)
 	for i, c := range conns {
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
@@ -195,14 +196,14 @@
 	<-accepted
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("the listener is still open")
 	}
 	l.Wait()
 }
 
-// A listener that can accept nobody ends by its time all the same.
-func TestStopEndsByItsTime(t *testing.T) {
-	const long = 10 * time.Second
+// Stop ends Accept by its deadline even if every accept fails.
+func TestStopHonorsDeadline(t *testing.T) {
+	const timeout = 10 * time.Second
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -219,7 +220,7 @@
 	l.Stop(time.Now())
 	select {
 	case <-accepted:
-	case <-time.After(long):
-		t.Fatal("it goes on")
+	case <-time.After(timeout):
+		t.Fatal("Accept has not returned")
 	}
 }
--- a/internal/transport/nodelay_test.go
+++ b/internal/transport/nodelay_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Small writes are not held back, on any connection on which heads or answers are written: a close right after one would
-// take what the system still holds with it.
-func TestNothingIsHeldBack(t *testing.T) {
+// All connections have TCP_NODELAY set, so that small writes are not delayed by Nagle's algorithm: a close right after a
+// delayed write would discard it.
+func TestNoDelayIsSet(t *testing.T) {
 	bound, err := System{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// server accepts connections one by one and hands them over.
-func server(t *testing.T) (peer Peer, conns chan net.Conn) {
+// startWorker starts a listener that stands for a worker and returns its accepted connections on a channel.
+func startWorker(t *testing.T) (peer Peer, conns chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -23,143 +23,147 @@
 			all = append(all, c)
 			conns <- c
 		}
-		for _, c := range all { // the test is over; so ends what the pool still holds
+		for _, c := range all { // end of the test: also ends the connections that the pool still holds
 			c.Close()
 		}
 	}()
 	return Peer{Addr: ln.Addr().String()}, conns
 }
 
-func line(r *bufio.Reader) (bool, error) {
+// readLine reads a response of one line and allows reuse of the connection.
+func readLine(r *bufio.Reader) (bool, error) {
 	_, err := r.ReadString('\n')
 	return true, err
 }
 
-// reply reads a message and answers it.
+// reply reads a message and responds to it.
 func reply(c net.Conn) {
 	io.ReadFull(c, make([]byte, 2))
 	io.WriteString(c, "ok\n")
 }
 
-func message(ready bool) Exchange {
-	text := func() net.Buffers { return net.Buffers{[]byte("a"), []byte("\n")} }
-	return Exchange{Message: text, Guard: answers(ready), Read: line}
+// newExchange returns an exchange of one line each way whose guard always returns ready.
+func newExchange(ready bool) Exchange {
+	encode := func() net.Buffers { return net.Buffers{[]byte("a"), []byte("\n")} }
+	return Exchange{Message: encode, Guard: fixedGuard(ready), Read: readLine}
 }
 
-func check(t *testing.T, a *Attempt, sent bool, want error) {
+// expectResult checks the result of an attempt; with want nil it must have succeeded.
+func expectResult(t *testing.T, a *Attempt, sent bool, want error) {
 	t.Helper()
 	if r := <-a.Done; r.Sent != sent || want != nil && !errors.Is(r.Err, want) || want == nil && r.Err != nil {
 		t.Errorf("got %+v, want %v %v", r, sent, want)
 	}
 }
 
-// What became unwanted while its connection was being made must not reach the worker at all.
-func TestNothingIsWrittenWhenRevoked(t *testing.T) {
-	addr, conns := server(t)
+// An attempt that is revoked while its connection is being established must not send anything to the worker.
+func TestRevokedAttemptWritesNothing(t *testing.T) {
+	addr, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), 10*time.Second, time.Minute)
-	check(t, p.Start(addr, message(false)), false, ErrRevoked)
+	expectResult(t, p.Start(addr, newExchange(false)), false, ErrRevoked)
 	if b, err := io.ReadAll(<-conns); len(b) > 0 {
-		t.Errorf("the worker got %q (%v)", b, err)
+		t.Errorf("the worker received %q (%v)", b, err)
 	}
 }
 
-// An aborted exchange has one result, and its connection is closed, not reused.
+// An aborted attempt sends one result, and its connection is closed rather than reused.
 func TestAbort(t *testing.T) {
-	addr, conns := server(t)
+	addr, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(4), 10*time.Second, time.Minute)
-	a := p.Start(addr, message(true))
+	a := p.Start(addr, newExchange(true))
 	c := <-conns
 	if s, err := bufio.NewReader(c).ReadString('\n'); s != "a\n" {
 		t.Fatal(s, err)
 	}
 	a.Abort()
 	a.Abort()
-	check(t, a, true, ErrAborted)
+	expectResult(t, a, true, ErrAborted)
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("the connection is still open")
 	}
 }
 
-// At the bound an idle connection makes room for another worker's; with none idle the exchange is refused
-// without a word about the worker.
+// At the limit an idle connection is closed to make room for one to another worker. If none is idle, the attempt fails
+// without blaming the worker.
 func TestBudget(t *testing.T) {
-	addr, conns := server(t)
-	other, others := server(t)
+	addr, conns := startWorker(t)
+	other, others := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), 10*time.Second, time.Minute)
-	a := p.Start(addr, message(true))
-	check(t, p.Start(other, message(true)), false, ErrCrowded)
+	a := p.Start(addr, newExchange(true))
+	expectResult(t, p.Start(other, newExchange(true)), false, ErrCrowded)
 	c := <-conns
 	reply(c)
-	check(t, a, true, nil)
-	b := p.Start(other, message(true))
+	expectResult(t, a, true, nil)
+	b := p.Start(other, newExchange(true))
 	reply(<-others)
-	check(t, b, true, nil)
+	expectResult(t, b, true, nil)
 	if n := p.budget.used.Load(); n != 1 {
 		t.Errorf("%d descriptors counted, 1 held", n)
 	}
-	io.Copy(io.Discard, c) // ends: the first connection was closed
+	io.Copy(io.Discard, c) // returns, since the first connection was closed
 }
 
-// An idle connection is retired by its own clock, before the worker's.
-func TestIdleConnectionsRetire(t *testing.T) {
-	addr, conns := server(t)
+// An idle connection is closed by its own timeout, before the worker closes it.
+func TestIdleTimeout(t *testing.T) {
+	addr, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), 10*time.Second, time.Millisecond)
-	a := p.Start(addr, message(true))
+	a := p.Start(addr, newExchange(true))
 	c := <-conns
 	reply(c)
-	check(t, a, true, nil)
-	io.Copy(io.Discard, c) // ends with the retirement
+	expectResult(t, a, true, nil)
+	io.Copy(io.Discard, c) // returns when the idle connection is closed
 }
 
-// What comes on an idle connection would be taken for the answer to the next message, so that connection must
-// not carry one, not even before its own goroutine has seen the bytes.
-func TestUnaskedBytes(t *testing.T) {
-	addr, conns := server(t)
+// Bytes that arrive on an idle connection would be mistaken for the response to the next message, so the connection must
+// not be reused, not even before its own goroutine has seen the bytes.
+func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
+	addr, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(2), 10*time.Second, time.Minute)
 	socket, err := System{}.Dial(t.Context(), addr.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	idle := &conn{Socket: socket, peer: addr, reader: bufio.NewReader(socket)} // one that no goroutine reads yet
+	idle := &conn{Socket: socket, peer: addr, reader: bufio.NewReader(socket)} // not read by any goroutine yet
 	p.idle[addr] = []*conn{idle}
 	io.WriteString(<-conns, "a second copy\n")
 	if err := idle.Await(); err != nil {
 		t.Fatal(err)
 	}
-	a := p.Start(addr, message(true))
+	a := p.Start(addr, newExchange(true))
 	reply(<-conns) // on a new connection
-	check(t, a, true, nil)
+	expectResult(t, a, true, nil)
 }
 
-// An answer that begins before its message is out is no answer to it.
-func TestEarlyAnswer(t *testing.T) {
-	addr, conns := server(t)
+// A response that starts before the message has been sent completely cannot be the response to it.
+func TestEarlyResponse(t *testing.T) {
+	addr, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), 10*time.Second, time.Minute)
-	x := message(true)
-	x.Message = func() net.Buffers { return net.Buffers{make([]byte, 64<<20)} } // more than the sockets hold
-	a := p.Start(addr, message(true))
+	x := newExchange(true)
+	x.Message = func() net.Buffers { return net.Buffers{make([]byte, 64<<20)} } // more than the socket buffers hold
+	a := p.Start(addr, newExchange(true))
 	c := <-conns
 	reply(c)
-	check(t, a, true, nil)
-	go func() { // the worker answers what it has not read
+	expectResult(t, a, true, nil)
+	go func() { // the worker responds without reading the message
 		io.ReadFull(c, make([]byte, 1))
 		io.WriteString(c, "ok\n")
 		io.Copy(io.Discard, c)
 	}()
-	check(t, p.Start(addr, x), false, ErrEarly) // the last byte never goes out
+	expectResult(t, p.Start(addr, x), false, ErrEarly) // the last byte is never sent
 }
 
-// A kept connection that breaks is told apart: its worker may have closed it just before.
-func TestKept(t *testing.T) {
-	peer, conns := server(t)
+// The result of an attempt says whether its connection was reused: the worker may have closed it just before, which must be
+// distinguishable from a failure on a new connection.
+func TestReusedConnectionIsReported(t *testing.T) {
+	peer, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), 10*time.Second, time.Minute)
-	a := p.Start(peer, message(true))
+	a := p.Start(peer, newExchange(true))
 	c := <-conns
 	reply(c)
 	if r := <-a.Done; r.Kept {
-		t.Error("a new connection counts as kept")
+		t.Error("a new connection is reported as reused")
 	}
-	a = p.Start(peer, message(true))
+	a = p.Start(peer, newExchange(true))
 	io.ReadFull(c, make([]byte, 2))
 	c.Close()
 	if r := <-a.Done; !r.Kept || !r.Sent || r.Err == nil {
@@ -167,54 +171,54 @@
 	}
 }
 
-// A process that took over an address is not sent to on a connection to the one before it.
-func TestLives(t *testing.T) {
-	peer, conns := server(t)
+// A connection to an earlier process at an address is not reused for its successor.
+func TestIncarnationsShareNoConnection(t *testing.T) {
+	peer, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(2), 10*time.Second, time.Minute)
-	a := p.Start(peer, message(true))
+	a := p.Start(peer, newExchange(true))
 	reply(<-conns)
-	check(t, a, true, nil)
+	expectResult(t, a, true, nil)
 	peer.Life++
-	a = p.Start(peer, message(true))
+	a = p.Start(peer, newExchange(true))
 	reply(<-conns)
-	check(t, a, true, nil)
+	expectResult(t, a, true, nil)
 }
 
-// answers is a guard that always says the same.
-type answers bool
+// fixedGuard is a guard whose Ready always returns the same.
+type fixedGuard bool
 
-func (a answers) Ready() bool       { return bool(a) }
-func (answers) Began(time.Duration) {}
+func (a fixedGuard) Ready() bool       { return bool(a) }
+func (fixedGuard) Began(time.Duration) {}
 
-// listening is a guard that says yes and keeps how late the first byte was.
-type listening chan time.Duration
+// lateStartRecorder is a guard that permits every message and records the reported delays.
+type lateStartRecorder chan time.Duration
 
-func (listening) Ready() bool             { return true }
-func (l listening) Began(d time.Duration) { l <- d }
+func (lateStartRecorder) Ready() bool             { return true }
+func (l lateStartRecorder) Began(d time.Duration) { l <- d }
 
-// A guard hears of a first byte that went out long after it said yes, and of no other.
-func TestGuardHearsOfALateStart(t *testing.T) {
-	peer, conns := server(t)
+// A guard is notified of a first byte that is written long after Ready, and of no other.
+func TestGuardIsToldOfLateStart(t *testing.T) {
+	peer, conns := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), time.Minute, time.Minute)
-	heard := make(listening, 2)
+	recorder := make(lateStartRecorder, 2)
 	var c net.Conn
-	for _, held := range []time.Duration{0, LateStart} {
-		x := message(true)
-		x.Guard = heard
+	for _, delay := range []time.Duration{0, LateStart} {
+		x := newExchange(true)
+		x.Guard = recorder
 		text := x.Message
 		x.Message = func() net.Buffers {
-			time.Sleep(held) // the fault itself
+			time.Sleep(delay) // delays the first byte after Ready
 			return text()
 		}
 		a := p.Start(peer, x)
 		if c == nil {
-			c = get(t, conns)
+			c = nextConn(t, conns)
 		}
 		reply(c)
-		check(t, a, true, nil)
+		expectResult(t, a, true, nil)
 	}
-	if d := <-heard; d < LateStart || len(heard) > 0 {
-		t.Errorf("heard of %v, and %d more", d, len(heard))
+	if d := <-recorder; d < LateStart || len(recorder) > 0 {
+		t.Errorf("recorded a delay of %v, and %d more", d, len(recorder))
 	}
 	p.CloseIdle(peer)
 }
--- a/internal/transport/system_test.go
+++ b/internal/transport/system_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// A failure of this machine's own is told from one of the peer's.
+// Dial errors caused by this machine are distinguished from those caused by the peer.
 func TestDialError(t *testing.T) {
 	for errno, local := range map[syscall.Errno]bool{
 		syscall.EADDRNOTAVAIL: true, syscall.ENOBUFS: true, syscall.EMFILE: true, syscall.ENFILE: true, syscall.ENETUNREACH: true,
@@ -28,31 +28,31 @@
 	}
 }
 
-// failing is a listener whose accept fails in all the ways that pass, and then works.
-type failing struct {
+// flakyListener is a listener whose Accept first fails with each of the transient errors and then works.
+type flakyListener struct {
 	net.Listener
-	left atomic.Int64
+	remaining atomic.Int64
 }
 
-// transient are accept's errors that pass (accept(2)).
-var transient = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
-	syscall.EINTR, syscall.ENETDOWN, syscall.EHOSTUNREACH}
+// transientErrors are the temporary errors of accept (accept(2)).
+var transientErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	syscall.EPROTO, syscall.EINTR, syscall.ENETDOWN, syscall.EHOSTUNREACH}
 
-func (l *failing) Accept() (net.Conn, error) {
-	if n := l.left.Add(-1); n >= 0 {
-		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", transient[n])}
+func (l *flakyListener) Accept() (net.Conn, error) {
+	if n := l.remaining.Add(-1); n >= 0 {
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", transientErrors[n])}
 	}
 	return l.Listener.Accept()
 }
 
-// A listener survives every failure that passes, and says so once for each stretch.
-func TestAcceptSurvives(t *testing.T) {
+// A listener survives all temporary failures of accept, and reports each run of consecutive failures once.
+func TestAcceptSurvivesTransientErrors(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	flaky := &failing{Listener: ln}
-	flaky.left.Store(int64(len(transient)))
+	flaky := &flakyListener{Listener: ln}
+	flaky.remaining.Store(int64(len(transientErrors)))
 	l := Serve(flaky, 1, 1)
 	var failures atomic.Int64
 	ended := make(chan struct{})
@@ -67,6 +67,6 @@
 	l.Close()
 	<-ended
 	if n := failures.Load(); n != 1 {
-		t.Error(fmt.Sprint(n, " failures were told of one stretch"))
+		t.Error(fmt.Sprint(n, " failures were reported for one run of failures"))
 	}
 }
