--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -218,9 +218,9 @@
 	return first, last
 }
 
-// Refused returns an Attempt at x that failed with err before anything was sent.
-func Refused(x Exchange, err error) *Attempt {
-	a := &Attempt{Done: x.resultChannel(), exchange: x}
+// Refused returns an Attempt at exchange that failed with err before anything was sent.
+func Refused(exchange Exchange, err error) *Attempt {
+	a := &Attempt{Done: exchange.resultChannel(), exchange: exchange}
 	a.complete(false, err)
 	return a
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -101,7 +101,7 @@
 
 // Listener accepts client connections, limits their number, and serves each in its own goroutine.
 type Listener struct {
-	listener     net.Listener
+	ln           net.Listener
 	limit        int
 	gracePeriods [Busy]time.Duration
 	slots        chan struct{} // one for each connection, including the spare ones
@@ -127,12 +127,12 @@
 
 // Serve is Listen for a socket that is listening already, such as one inherited from the platform.
 func Serve(ln net.Listener, limit, spare int) *Listener {
-	return &Listener{listener: ln, limit: limit, gracePeriods: gracePeriods, slots: make(chan struct{}, limit+spare),
+	return &Listener{ln: ln, limit: limit, gracePeriods: gracePeriods, slots: make(chan struct{}, limit+spare),
 		roomFreed: make(chan struct{}, 1), clients: map[*Client]struct{}{}}
 }
 
 // Addr returns the listener's address.
-func (l *Listener) Addr() net.Addr { return l.listener.Addr() }
+func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
 // Accept serves connections until Close or Stop. At the limit, a connection without a call is evicted to make room for a new
 // one. If none can be evicted, further clients are served as crowded, and beyond the spare connections they wait in the
@@ -144,9 +144,9 @@
 	failing := false
 	for l.keepAccepting() {
 		start := time.Now()
-		conn, err := l.listener.Accept()
+		conn, err := l.ln.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) && l.stopping() {
-			l.listener.Close()
+			l.ln.Close()
 			return
 		}
 		if errors.Is(err, net.ErrClosed) {
@@ -343,7 +343,7 @@
 }
 
 // Close stops listening immediately and resets the clients in the accept queue. Accepted connections are not affected.
-func (l *Listener) Close() error { return l.listener.Close() }
+func (l *Listener) Close() error { return l.ln.Close() }
 
 // Stop makes Accept stop listening as soon as the accept queue is empty, and by the deadline at the latest. Clients in the
 // queue may already have sent their requests, and a close would reset them, so accepting continues even after temporary
@@ -371,8 +371,8 @@
 	if deadline.IsZero() {
 		return true
 	}
-	if !time.Now().Before(deadline) || !setAcceptTimeout(l.listener, emptyQueueTimeout) {
-		l.listener.Close()
+	if !time.Now().Before(deadline) || !setAcceptTimeout(l.ln, emptyQueueTimeout) {
+		l.ln.Close()
 		return false
 	}
 	return true
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -52,11 +52,11 @@
 const readBufferSize = 8 << 10
 
 // Start sends an exchange to a worker on an idle connection or, if there is none, on a new one.
-func (p *Pool) Start(peer Peer, x Exchange) *Attempt {
-	a := &Attempt{Done: x.resultChannel(), exchange: x, writeDone: make(chan struct{})}
+func (p *Pool) Start(peer Peer, exchange Exchange) *Attempt {
+	a := &Attempt{Done: exchange.resultChannel(), exchange: exchange, writeDone: make(chan struct{})}
 	if c := p.reuse(peer, a); c != nil {
 		c.SetReadDeadline(time.Time{})
-		if x.Rest != nil || x.Long { // may block on the message's source or the worker, and the caller must not wait for that
+		if exchange.Rest != nil || exchange.Long { // may block on the source or the worker; the caller must not wait for it
 			go a.write(c)
 		} else {
 			a.write(c)
