--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -25,13 +25,13 @@
 	"safety.drain_grace_us=1\nsafety.fall_multiple=2\nsafety.start_capacity=0.5\nsafety.tip_after_us=1\n" +
 	"safety.warm_after_us=1\n"
 
-func launch(text string) []byte {
+func launchRecord(text string) []byte {
 	f := binary.LittleEndian.AppendUint64(nil, 7)
 	f = binary.LittleEndian.AppendUint32(f, uint32(len(text)))
 	return record(27, append(f, text...)...)
 }
 
-func ask(class byte) []byte {
+func requestRecord(class byte) []byte {
 	f := make([]byte, 31)
 	f[0], f[16] = 9, class
 	binary.LittleEndian.PutUint32(f[17:], 2000)
@@ -39,19 +39,19 @@
 }
 
 func TestRun(t *testing.T) {
-	at := record(18, 3, 0)
+	target := record(18, 3, 0)
 	tests := []struct {
 		name  string
 		input []byte
 		want  string // in the error; empty for none
 	}{
-		{"nothing", nil, ""},
+		{"no input", nil, ""},
 		{"empty batch", batch(), ""},
-		{"a request without servers", batch(at, launch(settings), ask(0)), ""},
-		{"never launched", batch(at, ask(0)), "never launched"},
-		{"after its end", batch(at, launch(settings), record(20), ask(0)), "never launched"},
-		{"unknown class", batch(at, launch(settings), ask(1)), "unknown class 1"},
-		{"bad settings", batch(at, launch("zone=0")), "setting safety.answer_slack_us: missing"},
+		{"a request without servers", batch(target, launchRecord(settings), requestRecord(0)), ""},
+		{"event before launch", batch(target, requestRecord(0)), "never launched"},
+		{"event after shutdown", batch(target, launchRecord(settings), record(20), requestRecord(0)), "never launched"},
+		{"unknown class", batch(target, launchRecord(settings), requestRecord(1)), "unknown class 1"},
+		{"bad settings", batch(target, launchRecord("zone=0")), "setting safety.answer_slack_us: missing"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
--- a/cmd/burlpass/main.go
+++ b/cmd/burlpass/main.go
@@ -1,5 +1,5 @@
-// Command burlpass is a client-side load-balancing sidecar and the laboratory that it is proved in. Without a
-// sub-command it serves as its EDGE_ variables say.
+// Command burlpass is a client-side load-balancing sidecar with the experiments that test it. Without a
+// subcommand it runs the sidecar as configured by the EDGE_ environment variables.
 package main
 
 import (
--- a/wire/cursor.go
+++ b/wire/cursor.go
@@ -10,23 +10,23 @@
 	"burlpass/decide"
 )
 
-func micros(v uint64) time.Duration { return time.Duration(v) * time.Microsecond }
+func fromMicros(v uint64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// cursor reads the fields of one record; short is set once a read went past the end.
+// cursor reads the fields of one record. truncated is set by a read past the end; later reads return zero values.
 type cursor struct {
-	b     []byte
-	short bool
+	data      []byte
+	truncated bool
 }
 
-var errShort = errors.New("fields cut short")
+var errTruncated = errors.New("fields truncated")
 
 func (c *cursor) bytes(n int64) []byte {
-	if c.short || n > int64(len(c.b)) {
-		c.short, c.b = true, nil
+	if c.truncated || n > int64(len(c.data)) {
+		c.truncated, c.data = true, nil
 		return nil
 	}
-	v := c.b[:n:n]
-	c.b = c.b[n:]
+	v := c.data[:n:n]
+	c.data = c.data[n:]
 	return v
 }
 
@@ -58,14 +58,16 @@
 	return 0
 }
 
+// attempt reads the request ID, attempt number and server that identify an attempt.
 func (c *cursor) attempt(e *decide.Event) {
 	e.ID, e.Attempt, e.Server = c.u64(), int(c.u16()), decide.ServerID(c.u32())
 }
 
+// floats reads a one-byte count and that many 32-bit floats.
 func (c *cursor) floats() []float32 {
 	n := int(c.u8())
 	raw := c.bytes(int64(4 * n))
-	if n == 0 || c.short {
+	if n == 0 || c.truncated {
 		return nil
 	}
 	v := make([]float32, n)
@@ -75,12 +77,13 @@
 	return v
 }
 
-func (c *cursor) end() error {
+// finish returns an error unless the fields filled the record exactly.
+func (c *cursor) finish() error {
 	switch {
-	case c.short:
-		return errShort
-	case len(c.b) > 0:
-		return fmt.Errorf("%d bytes after the last field", len(c.b))
+	case c.truncated:
+		return errTruncated
+	case len(c.data) > 0:
+		return fmt.Errorf("%d bytes after the last field", len(c.data))
 	}
 	return nil
 }
--- a/wire/decoder.go
+++ b/wire/decoder.go
@@ -10,14 +10,14 @@
 	"burlpass/decide"
 )
 
-// Op says what a Record is.
+// Op is the kind of a Record.
 type Op uint8
 
-// The records as the caller sees them: lists and addressing are resolved by the Decoder.
+// The kinds of records that a Decoder passes on. It resolves server lists and addressing records itself.
 const (
-	Launch Op = iota + 1 // Seed, Settings
-	Down
-	Deliver // Event
+	Launch  Op = iota + 1 // start an instance; Seed and Settings are set
+	Down                  // stop the instance
+	Deliver               // handle an event; Event is set
 )
 
 // Record is one record of a batch, addressed to an instance.
@@ -29,14 +29,14 @@
 	Event    decide.Event
 }
 
-// Decoder reads batches. Slices inside the records stay valid until the next call of Batch, those of
-// server lists until the list's number is used again.
+// Decoder reads batches. Slices in records are valid until the next call of Batch; server lists are valid until
+// a list with the same number is received.
 type Decoder struct {
-	r     *bufio.Reader
-	buf   []byte
-	lists [maxLists][]decide.Server
-	known [maxLists]bool
-	clock uint64
+	r        *bufio.Reader
+	buf      []byte
+	lists    [maxServerLists][]decide.Server
+	received [maxServerLists]bool
+	clock    uint64
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -44,93 +44,93 @@
 	return &Decoder{r: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// Batch reads one batch and calls f for each of its records in order. It returns the batch's clock, and
-// io.EOF where the input ends between two batches.
-func (d *Decoder) Batch(f func(now time.Duration, rec *Record) error) (time.Duration, error) {
-	var head [batchHeader]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+// Batch reads one batch and calls handle for each of its records in order. It returns the batch's clock, or
+// io.EOF if the input ends between batches.
+func (d *Decoder) Batch(handle func(now time.Duration, rec *Record) error) (time.Duration, error) {
+	var header [batchHeaderSize]byte
+	if _, err := io.ReadFull(d.r, header[:]); err != nil {
 		if err == io.EOF {
 			return 0, io.EOF
 		}
 		return 0, fmt.Errorf("batch header: %w", err)
 	}
-	clock := binary.LittleEndian.Uint64(head[:])
-	size := binary.LittleEndian.Uint32(head[8:])
-	count := binary.LittleEndian.Uint32(head[12:])
+	clock := binary.LittleEndian.Uint64(header[:])
+	size := binary.LittleEndian.Uint32(header[8:])
+	count := binary.LittleEndian.Uint32(header[12:])
 	switch {
-	case clock > maxClock:
+	case clock > maxClockMicros:
 		return 0, fmt.Errorf("batch header: clock %d is out of range", clock)
 	case clock < d.clock:
-		return 0, fmt.Errorf("batch header: clock went back from %d to %d", d.clock, clock)
+		return 0, fmt.Errorf("batch header: clock went backwards from %d to %d", d.clock, clock)
 	case size < 4:
-		return 0, fmt.Errorf("batch header: length %d does not cover the count", size)
-	case size > maxFrame:
-		return 0, fmt.Errorf("batch header: length %d is over %d", size, maxFrame)
+		return 0, fmt.Errorf("batch header: length %d is too short for the count", size)
+	case size > maxFrameSize:
+		return 0, fmt.Errorf("batch header: length %d exceeds %d", size, maxFrameSize)
 	case uint64(count)*5 > uint64(size-4):
 		return 0, fmt.Errorf("batch header: %d records do not fit into %d bytes", count, size)
 	}
 	d.clock = clock
-	size -= 4 // the length counts the count
-	if err := d.fill(int(size)); err != nil {
+	size -= 4 // the length includes the count
+	if err := d.readBody(int(size)); err != nil {
 		return 0, fmt.Errorf("batch of %d bytes: %w", size, err)
 	}
-	now := micros(clock)
+	now := fromMicros(clock)
 	rest := d.buf
 	instance, addressed := uint16(0), false
 	var rec Record
 	for i := uint32(0); i < count; i++ {
 		if len(rest) < 5 {
-			return 0, fmt.Errorf("record %d: header cut short", i)
+			return 0, fmt.Errorf("record %d: header truncated", i)
 		}
 		code, n := rest[0], binary.LittleEndian.Uint32(rest[1:])
 		if uint64(n) > uint64(len(rest)-5) {
 			return 0, fmt.Errorf("record %d (code %d): %d bytes of fields, %d left in the batch",
 				i, code, n, len(rest)-5)
 		}
-		c := cursor{b: rest[5 : 5+n]}
+		c := cursor{data: rest[5 : 5+n]}
 		rest = rest[5+n:]
 		switch code {
 		case eventTarget:
 			instance, addressed = c.u16(), true
-			if err := c.end(); err != nil {
+			if err := c.finish(); err != nil {
 				return 0, fmt.Errorf("record %d (target_instance): %w", i, err)
 			}
 			continue
 		case eventServerList:
-			if err := d.serverList(&c); err != nil {
+			if err := d.decodeServerList(&c); err != nil {
 				return 0, fmt.Errorf("record %d (census): %w", i, err)
 			}
 			continue
 		}
 		if !addressed {
-			return 0, fmt.Errorf("record %d (code %d): no target_instance before it", i, code)
+			return 0, fmt.Errorf("record %d (code %d): no preceding target_instance", i, code)
 		}
 		rec = Record{Op: Deliver, Instance: instance}
-		if err := d.decode(code, &c, &rec); err != nil {
+		if err := d.decodeRecord(code, &c, &rec); err != nil {
 			return 0, fmt.Errorf("record %d: %w", i, err)
 		}
-		if err := f(now, &rec); err != nil {
+		if err := handle(now, &rec); err != nil {
 			return 0, fmt.Errorf("record %d: %w", i, err)
 		}
 	}
 	if len(rest) > 0 {
-		return 0, fmt.Errorf("batch: %d bytes after its last record", len(rest))
+		return 0, fmt.Errorf("batch: %d bytes after the last record", len(rest))
 	}
 	return now, nil
 }
 
-// fill reads size bytes into the buffer, growing it only as bytes arrive, so that a false length field
-// cannot make it allocate.
-func (d *Decoder) fill(size int) error {
+// readBody reads size bytes into the buffer. The buffer grows only as bytes arrive, so that a corrupt length field
+// cannot cause a large allocation.
+func (d *Decoder) readBody(size int) error {
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
-		n := min(size-len(d.buf), max(readChunk, cap(d.buf)-len(d.buf)))
-		at := len(d.buf)
-		if cap(d.buf) < at+n {
-			d.buf = append(make([]byte, 0, 2*(at+n)), d.buf...)
+		n := min(size-len(d.buf), max(readChunkSize, cap(d.buf)-len(d.buf)))
+		offset := len(d.buf)
+		if cap(d.buf) < offset+n {
+			d.buf = append(make([]byte, 0, 2*(offset+n)), d.buf...)
 		}
-		d.buf = d.buf[:at+n]
-		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
+		d.buf = d.buf[:offset+n]
+		if _, err := io.ReadFull(d.r, d.buf[offset:]); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
--- a/wire/encoder.go
+++ b/wire/encoder.go
@@ -9,107 +9,109 @@
 	"burlpass/decide"
 )
 
-// Encoder builds one reply at a time.
+// Encoder builds the reply to a batch. Call Reset before each reply.
 type Encoder struct {
-	buf      []byte
-	count    uint32
-	instance uint16
-	named    bool
+	buf       []byte
+	count     uint32
+	instance  uint16 // that the following records are addressed to
+	addressed bool   // whether instance has been set in this reply
 }
 
-// Reset starts an empty reply.
+// Reset discards the current reply and starts an empty one.
 func (e *Encoder) Reset() {
-	e.buf, e.count, e.named = append(e.buf[:0], make([]byte, 8)...), 0, false
+	e.buf, e.count, e.addressed = append(e.buf[:0], make([]byte, 8)...), 0, false
 }
 
-// Actions adds what an instance does.
+// Actions appends the actions of an instance.
 func (e *Encoder) Actions(inst uint16, list []decide.Action) {
 	for i := range list {
-		e.address(inst)
+		e.selectInstance(inst)
 		e.action(&list[i])
 	}
 }
 
-// Bug adds the fault of an instance whose decision code has failed.
+// Bug appends a record saying that the decision code of an instance panicked.
 func (e *Encoder) Bug(inst uint16, text string) {
-	e.address(inst)
-	e.text(actionBug, text)
+	e.selectInstance(inst)
+	e.textRecord(actionBug, text)
 }
 
-// Bytes returns the finished reply; it stays valid until Reset.
+// Bytes returns the finished reply. The slice is valid until Reset.
 func (e *Encoder) Bytes() []byte {
-	binary.LittleEndian.PutUint32(e.buf, uint32(len(e.buf)-4)) // all after this field, the count too
+	binary.LittleEndian.PutUint32(e.buf, uint32(len(e.buf)-4)) // the length covers everything after itself, including the count
 	binary.LittleEndian.PutUint32(e.buf[4:], e.count)
 	return e.buf
 }
 
-func (e *Encoder) address(inst uint16) {
-	if e.named && e.instance == inst {
+// selectInstance addresses the following records to an instance, unless they already are.
+func (e *Encoder) selectInstance(inst uint16) {
+	if e.addressed && e.instance == inst {
 		return
 	}
-	e.instance, e.named = inst, true
-	e.head(actionInstance, 2)
+	e.instance, e.addressed = inst, true
+	e.beginRecord(actionInstance, 2)
 	e.u16(inst)
 }
 
 func (e *Encoder) action(a *decide.Action) {
 	switch a.Kind {
 	case decide.Send:
-		e.head(actionSend, 16)
+		e.beginRecord(actionSend, 16)
 		e.u64(a.ID)
 		e.u32(uint32(a.Server))
 		e.u32(toMicros(a.Timeout))
 	case decide.Refuse:
-		e.head(actionRefuse, 12)
+		e.beginRecord(actionRefuse, 12)
 		e.u64(a.ID)
 		e.u32(toMicros(a.Wait))
 	case decide.Fail:
-		e.head(actionFail, 8)
+		e.beginRecord(actionFail, 8)
 		e.u64(a.ID)
 	case decide.Cancel:
-		e.head(actionCancel, 10)
+		e.beginRecord(actionCancel, 10)
 		e.u64(a.ID)
 		e.u16(uint16(a.Attempt))
 	case decide.Probe:
-		e.head(actionProbe, 4)
+		e.beginRecord(actionProbe, 4)
 		e.u32(uint32(a.Server))
 	case decide.Close:
-		e.head(actionClose, 4)
+		e.beginRecord(actionClose, 4)
 		e.u32(uint32(a.Server))
 	case decide.Wake:
-		e.head(actionTimer, 12)
+		e.beginRecord(actionTimer, 12)
 		e.u32(toMicros(a.Wait))
 		e.u64(a.Token)
 	case decide.Watch:
-		e.head(actionWatch, 1)
+		e.beginRecord(actionWatch, 1)
 		e.buf = append(e.buf, boolByte(a.On))
 	case decide.Fetch:
-		e.head(actionFetch, 0)
+		e.beginRecord(actionFetch, 0)
 	case decide.Tell:
 		to := uint16(math.MaxUint16)
 		if a.To >= 0 {
 			to = uint16(a.To)
 		}
 		data := a.Data[:min(len(a.Data), math.MaxUint16)]
-		e.head(actionPeerMessage, 4+len(data))
+		e.beginRecord(actionPeerMessage, 4+len(data))
 		e.u16(to)
 		e.u16(uint16(len(data)))
 		e.buf = append(e.buf, data...)
 	case decide.Log:
-		e.text(actionLog, a.Text)
+		e.textRecord(actionLog, a.Text)
 	default:
 		panic(fmt.Sprintf("wire: unknown action kind %d", a.Kind))
 	}
 }
 
-func (e *Encoder) text(code byte, s string) {
+// textRecord appends a record that holds a text, truncated to what its 16-bit length can express.
+func (e *Encoder) textRecord(code byte, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
-	e.head(code, 2+len(s))
+	e.beginRecord(code, 2+len(s))
 	e.u16(uint16(len(s)))
 	e.buf = append(e.buf, s...)
 }
 
-func (e *Encoder) head(code byte, size int) {
+func (e *Encoder) beginRecord(code byte, size int) {
 	e.count++
 	e.buf = append(e.buf, code)
 	e.u32(uint32(size))
@@ -119,7 +121,8 @@
 func (e *Encoder) u32(v uint32) { e.buf = binary.LittleEndian.AppendUint32(e.buf, v) }
 func (e *Encoder) u64(v uint64) { e.buf = binary.LittleEndian.AppendUint64(e.buf, v) }
 
-// toMicros rounds up, so that a timer or time-out above zero never becomes "none".
+// toMicros converts to whole microseconds, rounded up so that a positive timer or timeout never becomes 0, which
+// means none.
 func toMicros(d time.Duration) uint32 {
 	us := (max(d, 0) + time.Microsecond - 1) / time.Microsecond
 	return uint32(min(us, math.MaxUint32))
--- a/wire/record.go
+++ b/wire/record.go
@@ -7,24 +7,25 @@
 	"burlpass/decide"
 )
 
-func (d *Decoder) serverList(c *cursor) error {
+// decodeServerList reads a server list and stores it under its number for later peers_known records.
+func (d *Decoder) decodeServerList(c *cursor) error {
 	id := c.u8()
 	n := c.u32()
-	if c.short || uint64(n)*entrySize != uint64(len(c.b)) {
-		return fmt.Errorf("%d entries do not match %d bytes", n, len(c.b))
+	if c.truncated || uint64(n)*serverEntrySize != uint64(len(c.data)) {
+		return fmt.Errorf("%d entries do not match %d bytes", n, len(c.data))
 	}
-	if id >= maxLists {
-		return fmt.Errorf("list number %d is over %d", id, maxLists-1)
+	if id >= maxServerLists {
+		return fmt.Errorf("list number %d exceeds %d", id, maxServerLists-1)
 	}
 	list := make([]decide.Server, n)
 	for i := range list {
 		s := &list[i]
 		s.ID = decide.ServerID(c.u32())
 		started := c.u64()
-		if started > maxClock {
+		if started > maxClockMicros {
 			return fmt.Errorf("entry %d: start time %d is out of range", i, started)
 		}
-		s.Started = micros(started)
+		s.Started = fromMicros(started)
 		s.Zone, s.Cell = int(c.u16()), int(c.u16())
 		s.State = decide.State(c.u8())
 		s.Kind = int(c.u16())
@@ -33,11 +34,13 @@
 			return fmt.Errorf("entry %d: unknown stage_state %d", i, s.State)
 		}
 	}
-	d.lists[id], d.known[id] = list, true
+	d.lists[id], d.received[id] = list, true
 	return nil
 }
 
-func (d *Decoder) decode(code byte, c *cursor, rec *Record) error {
+// decodeRecord reads the fields of a record with the given code into rec. Errors use the record names of the
+// simulator's protocol.
+func (d *Decoder) decodeRecord(code byte, c *cursor, rec *Record) error {
 	e := &rec.Event
 	name := ""
 	switch code {
@@ -54,35 +57,35 @@
 		if form > uint8(decide.ListCached) {
 			return fmt.Errorf("peers_known: unknown form %d", form)
 		}
-		if e.List != decide.ListFailed && !c.short {
-			if id >= maxLists || !d.known[id] {
-				return fmt.Errorf("peers_known: list number %d was never sent", id)
+		if e.List != decide.ListFailed && !c.truncated {
+			if id >= maxServerLists || !d.received[id] {
+				return fmt.Errorf("peers_known: list number %d has not been sent", id)
 			}
 			e.Servers = d.lists[id]
 		}
 	case eventRequest:
 		name, e.Kind = "ask", decide.Request
 		e.ID, e.Key = c.u64(), c.u64()
-		e.Class, e.Budget, e.Tenant = int(c.u8()), micros(uint64(c.u32())), int(c.u32())
-		work, bits := micros(uint64(c.u32())), c.u16()
-		if bits&bitHint != 0 {
+		e.Class, e.Budget, e.Tenant = int(c.u8()), fromMicros(uint64(c.u32())), int(c.u32())
+		work, flags := fromMicros(uint64(c.u32())), c.u16()
+		if flags&flagWorkHint != 0 {
 			e.Work = work
 		}
-		e.Repeat, e.Write = bits&bitRepeat != 0, bits&bitWrite != 0
+		e.Repeat, e.Write = flags&flagRepeat != 0, flags&flagWrite != 0
 	case eventFirstByte:
 		name, e.Kind = "flowing", decide.First
 		c.attempt(e)
-		e.Latency = micros(uint64(c.u32()))
+		e.Latency = fromMicros(uint64(c.u32()))
 	case eventAttemptEnded:
 		name, e.Kind = "closed_attempt", decide.Outcome
 		c.attempt(e)
-		e.Status, e.Latency = decide.Status(c.u16()), micros(uint64(c.u32()))
+		e.Status, e.Latency = decide.Status(c.u16()), fromMicros(uint64(c.u32()))
 		e.Done = c.u8() != 0
 		e.Load = c.floats()
 	case eventProbeResult:
 		name, e.Kind = "status_back", decide.Probed
 		e.Server = decide.ServerID(c.u32())
-		e.Status, e.Latency = decide.Status(c.u16()), micros(uint64(c.u32()))
+		e.Status, e.Latency = decide.Status(c.u16()), fromMicros(uint64(c.u32()))
 		e.Load = c.floats()
 	case eventClientLeft:
 		name, e.Kind = "abandoned", decide.Left
@@ -97,7 +100,7 @@
 	default:
 		return fmt.Errorf("unknown code %d", code)
 	}
-	if err := c.end(); err != nil {
+	if err := c.finish(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	if e.Status > decide.Moot {
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	maxItems    = 256       // classes or tenants; a class number is one byte on the wire
-	maxSetting  = 1 << 40   // microseconds; a longer duration is held to be garbage
-	maxAttempts = 1<<16 - 1 // attempt numbers are two bytes
+	maxItems         = 256       // classes or tenants; a class index is one byte on the wire
+	maxSettingMicros = 1 << 40   // a longer duration is treated as corrupt
+	maxAttempts      = 1<<16 - 1 // attempt numbers are two bytes
 )
 
-// settings is the path=value text of a launch, with the problems met.
+// settings holds the parsed path=value lines of a launch and the errors found while reading them.
 type settings struct {
 	values map[string]string
-	faults []SettingError
+	errors []SettingError
 }
 
-// SettingError is what is wrong with one setting.
+// SettingError is an invalid or missing setting.
 type SettingError struct {
 	Key  string // dotted path
 	Text string
@@ -30,18 +30,18 @@
 // Error implements error.
 func (e SettingError) Error() string { return "setting " + e.Key + ": " + e.Text }
 
-// ParseSettings reads the settings of a launch. Keys that it does not know are skipped; an absent optional
-// one takes the meaning that the wire page gives it; a required one that is missing or does not parse is
-// reported by its name: the first one here, all of them by CheckSettings.
+// ParseSettings reads the settings of a launch. Unknown keys are ignored and absent optional ones take the default
+// of the protocol. If required settings are missing or values are invalid, it returns the first such error;
+// CheckSettings returns all of them.
 func ParseSettings(text []byte) (decide.Config, error) {
-	c, faults := CheckSettings(text)
-	if len(faults) > 0 {
-		return c, faults[0]
+	c, errs := CheckSettings(text)
+	if len(errs) > 0 {
+		return c, errs[0]
 	}
 	return c, nil
 }
 
-// CheckSettings reads the settings of a launch as ParseSettings does and returns every fault.
+// CheckSettings reads the settings of a launch as ParseSettings does and returns every error.
 func CheckSettings(text []byte) (decide.Config, []SettingError) {
 	s := &settings{values: map[string]string{}}
 	for _, line := range strings.Split(string(text), "\n") {
@@ -50,7 +50,7 @@
 		}
 	}
 	c := decide.Config{
-		Zone:           int(s.integer("zone", need, 1<<16)),
+		Zone:           int(s.integer("zone", requiredSetting, 1<<16)),
 		Ordinal:        int(s.integer("ordinal", 0, 1<<32)),
 		Balancers:      int(s.integer("balancers", 1, 1<<32)),
 		Tick:           s.micros("period_us", 0),
@@ -62,13 +62,13 @@
 		Reports:    decide.Reports(s.choice("report.via", "silent", "silent", "piggyback", "pull")),
 		MarksRetry: s.flag("clients.marks_retry"),
 		Safety: decide.Safety{
-			AnswerSlack:  s.micros("safety.answer_slack_us", need),
+			AnswerSlack:  s.micros("safety.answer_slack_us", requiredSetting),
 			AskWithin:    s.micros("safety.ask_within_us", 0),
-			DrainGrace:   s.micros("safety.drain_grace_us", need),
-			FallMultiple: s.number("safety.fall_multiple", need),
-			TipAfter:     s.micros("safety.tip_after_us", need),
-			StartShare:   s.number("safety.start_capacity", need),
-			WarmAfter:    s.micros("safety.warm_after_us", need),
+			DrainGrace:   s.micros("safety.drain_grace_us", requiredSetting),
+			FallMultiple: s.number("safety.fall_multiple", requiredSetting),
+			TipAfter:     s.micros("safety.tip_after_us", requiredSetting),
+			StartShare:   s.number("safety.start_capacity", requiredSetting),
+			WarmAfter:    s.micros("safety.warm_after_us", requiredSetting),
 		},
 		Limits: decide.Limits{
 			Cancel:        s.flag("ceilings.cancelling"),
@@ -76,7 +76,7 @@
 			Tell:          s.flag("ceilings.may_tell"),
 			SecondCopies:  s.flag("ceilings.may_duplicate"),
 			RetryAfter:    s.flag("ceilings.retry_after"),
-			MaxAttempts:   int(s.integer("ceilings.max_attempts", need, maxAttempts)),
+			MaxAttempts:   int(s.integer("ceilings.max_attempts", requiredSetting, maxAttempts)),
 			MaxRetryAfter: s.micros("ceilings.max_retry_after_us", 0),
 		},
 		Prices: decide.Prices{
@@ -91,100 +91,102 @@
 		ConnectTime: s.micros("ceilings.connect_timeout_us", 0),
 		ConnStreams: int(s.integer("ceilings.streams_per_conn", 1, 1<<32)),
 	}
-	if v := s.values["report.columns"]; v != "" {
-		c.Columns = strings.Split(v, ",")
+	if columns := s.values["report.columns"]; columns != "" {
+		c.Columns = strings.Split(columns, ",")
 	}
-	for i := range int(s.integer("classes.count", need, maxItems)) {
-		at := fmt.Sprintf("classes.%d.", i)
+	for i := range int(s.integer("classes.count", requiredSetting, maxItems)) {
+		prefix := fmt.Sprintf("classes.%d.", i)
 		class := decide.Class{
-			Aim:        s.micros(at+"aim_us", need),
-			AimStretch: s.number(at+"aim_stretch", 0),
-			Deadline:   s.micros(at+"deadline_us", need),
-			Worth:      s.number(at+"importance", need),
-			LateWorth:  s.number(at+"late_worth", 0),
-			Effect:     decide.Effect(s.choice(at+"repeat", "", "safe", "keyed", "unsafe")),
-			Group:      decide.Group(s.choice(at+"group", "all", "all", "zone", "cell")),
-			Window:     s.micros(at+"dedup_window_us", 0),
-			Stream:     s.flag(at + "stream"),
+			Aim:        s.micros(prefix+"aim_us", requiredSetting),
+			AimStretch: s.number(prefix+"aim_stretch", 0),
+			Deadline:   s.micros(prefix+"deadline_us", requiredSetting),
+			Worth:      s.number(prefix+"importance", requiredSetting),
+			LateWorth:  s.number(prefix+"late_worth", 0),
+			Effect:     decide.Effect(s.choice(prefix+"repeat", "", "safe", "keyed", "unsafe")),
+			Group:      decide.Group(s.choice(prefix+"group", "all", "all", "zone", "cell")),
+			Window:     s.micros(prefix+"dedup_window_us", 0),
+			Stream:     s.flag(prefix + "stream"),
 		}
 		c.Classes = append(c.Classes, class)
 	}
 	for i := range int(s.integer("tenants.count", 0, maxItems)) {
-		at := fmt.Sprintf("tenants.%d.", i)
+		prefix := fmt.Sprintf("tenants.%d.", i)
 		c.Tenants = append(c.Tenants, decide.Tenant{
-			Share: s.number(at+"share", 0),
-			Quota: s.number(at+"quota_rps", 0),
+			Share: s.number(prefix+"share", 0),
+			Quota: s.number(prefix+"quota_rps", 0),
 		})
 	}
-	return c, s.faults
+	return c, s.errors
 }
 
-// need as a default marks a setting that must be there.
-const need = -1
+// requiredSetting as the default of a setting marks it as required.
+const requiredSetting = -1
 
-func (s *settings) fail(key, format string, args ...any) {
-	if len(s.faults) == 0 || s.faults[len(s.faults)-1].Key != key { // the first of one key says it best
-		s.faults = append(s.faults, SettingError{key, fmt.Sprintf(format, args...)})
+// addError records an error of a setting, unless the previous error has the same key.
+func (s *settings) addError(key, format string, args ...any) {
+	if len(s.errors) == 0 || s.errors[len(s.errors)-1].Key != key { // report only the first error of each key
+		s.errors = append(s.errors, SettingError{key, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (s *settings) text(key string, required bool) (string, bool) {
-	v, ok := s.values[key]
+// lookup returns the value of a setting and whether it is present and not empty.
+func (s *settings) lookup(key string, required bool) (string, bool) {
+	value, ok := s.values[key]
 	if !ok && required {
-		s.fail(key, "missing")
+		s.addError(key, "missing")
 	}
-	return v, ok && v != ""
+	return value, ok && value != ""
 }
 
-func (s *settings) number(key string, absent float64) float64 {
-	v, ok := s.text(key, absent == need)
+func (s *settings) number(key string, defaultValue float64) float64 {
+	value, ok := s.lookup(key, defaultValue == requiredSetting)
 	if !ok {
-		if _, empty := s.values[key]; empty && absent == need {
-			s.fail(key, "empty")
+		if _, empty := s.values[key]; empty && defaultValue == requiredSetting {
+			s.addError(key, "empty")
 		}
-		return max(absent, 0)
+		return max(defaultValue, 0)
 	}
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(f >= 0 && f < maxSetting*1e6) {
-		s.fail(key, "%q is not a number of the expected range", v)
-		return max(absent, 0)
+	f, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(f >= 0 && f < maxSettingMicros*1e6) {
+		s.addError(key, "%q is not a number in the expected range", value)
+		return max(defaultValue, 0)
 	}
 	return f
 }
 
-func (s *settings) integer(key string, absent, most float64) int64 {
-	f := s.number(key, absent)
-	if f != float64(int64(f)) || f > most {
-		s.fail(key, "%v is not a whole number up to %v", f, most)
+func (s *settings) integer(key string, defaultValue, maxValue float64) int64 {
+	f := s.number(key, defaultValue)
+	if f != float64(int64(f)) || f > maxValue {
+		s.addError(key, "%v is not a whole number up to %v", f, maxValue)
 		return 0
 	}
 	return int64(f)
 }
 
-func (s *settings) micros(key string, absent float64) time.Duration {
-	return time.Duration(s.integer(key, absent, maxSetting)) * time.Microsecond
+func (s *settings) micros(key string, defaultValue float64) time.Duration {
+	return time.Duration(s.integer(key, defaultValue, maxSettingMicros)) * time.Microsecond
 }
 
 func (s *settings) flag(key string) bool {
-	v, ok := s.text(key, false)
-	if ok && v != "true" && v != "false" {
-		s.fail(key, "%q is neither true nor false", v)
+	value, ok := s.lookup(key, false)
+	if ok && value != "true" && value != "false" {
+		s.addError(key, "%q is neither true nor false", value)
 	}
-	return v == "true"
+	return value == "true"
 }
 
-// choice returns the position of the value among words; an absent one counts as absent, which is required
-// where that is empty.
-func (s *settings) choice(key, absent string, words ...string) int {
-	v, ok := s.text(key, absent == "")
+// choice returns the index of a setting's value in choices. A setting that is not present takes defaultValue; an
+// empty defaultValue makes the setting required.
+func (s *settings) choice(key, defaultValue string, choices ...string) int {
+	value, ok := s.lookup(key, defaultValue == "")
 	if !ok {
-		v = absent
+		value = defaultValue
 	}
-	for i, w := range words {
-		if v == w {
+	for i, choice := range choices {
+		if value == choice {
 			return i
 		}
 	}
-	s.fail(key, "unknown value %q", v)
+	s.addError(key, "unknown value %q", value)
 	return 0
 }
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestParseSettingsBad(t *testing.T) {
+func TestParseSettingsRejectsInvalid(t *testing.T) {
 	tests := []struct{ old, new, want string }{
 		{"zone=1\n", "", "setting zone: missing"},
 		{"zone=1\n", "zone=\n", "setting zone: empty"},
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire is the codec of the simulator's frames and its settings. It turns records into the plain
-// types of package decide and back, checks every length against what is there, and holds no policy.
+// Package wire encodes and decodes the simulator's binary frames and its settings text. It converts records to
+// and from the types of package decide and checks every length against the bytes available; it holds no policy.
 package wire
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Codes of the events.
+// Record codes of events, from the simulator to the balancer.
 const (
 	eventProbeResult    = 16
 	eventClientLeft     = 17
@@ -23,7 +23,7 @@
 	eventInstanceLaunch = 27
 )
 
-// Codes of the actions.
+// Record codes of actions, from the balancer to the simulator.
 const (
 	actionSend        = 16
 	actionRefuse      = 17
@@ -40,19 +40,20 @@
 	actionInstance    = 28
 )
 
+// Sizes in bytes, and limits on what a frame may hold.
 const (
-	batchHeader = 16
-	entrySize   = 23
-	maxLists    = 16
-	maxFrame    = 1 << 30 // bytes; a longer frame is held to be garbage
-	readChunk   = 1 << 20 // bytes allocated ahead of what has arrived
+	batchHeaderSize = 16
+	serverEntrySize = 23
+	maxServerLists  = 16
+	maxFrameSize    = 1 << 30 // a longer frame is treated as corrupt
+	readChunkSize   = 1 << 20 // allocated ahead of the bytes that have arrived
 
-	maxClock = math.MaxInt64 / uint64(time.Microsecond)
+	maxClockMicros = math.MaxInt64 / uint64(time.Microsecond)
 )
 
-// Bits of a request's bitmap.
+// Bits of a request's flags field.
 const (
-	bitHint   = 1
-	bitRepeat = 2
-	bitWrite  = 4
+	flagWorkHint = 1
+	flagRepeat   = 2
+	flagWrite    = 4
 )
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"burlpass/decide"
 )
 
-// frame builds a batch from a clock and records given as code and fields in hex.
+// frame builds a batch from a clock and records, each given as a code and fields in hex.
 func frame(clock uint64, records ...string) []byte {
 	var body []byte
 	for _, r := range records {
@@ -34,7 +34,8 @@
 	return append(b, body...)
 }
 
-func decode(t *testing.T, b []byte) ([]Record, error) {
+// decodeAll returns the records of all batches in b, up to the first error.
+func decodeAll(t *testing.T, b []byte) ([]Record, error) {
 	t.Helper()
 	d := NewDecoder(bytes.NewReader(b))
 	var got []Record
@@ -52,26 +53,26 @@
 	}
 }
 
-// The bytes are those that the wire page shows.
+// The example frames of the protocol's documentation.
 const (
-	pageEmpty = "5a5c80000000000004000000" + "00000000"
-	pageBatch = "5a5c8000000000005000000005000000" +
+	exampleEmptyBatch = "5a5c80000000000004000000" + "00000000"
+	exampleBatch      = "5a5c8000000000005000000005000000" +
 		"12020000000300" +
 		"1a1f000000c4913a5d436b0500640ad2557c3bf0910080a9030000000000e02e00000100" +
 		"17080000004d00000000000000" +
 		"12020000000500" +
 		"1108000000192b6f0e21de0d00"
-	pageReply = "5000000005000000" +
+	exampleReply = "5000000005000000" +
 		"1c020000000300" +
 		"1010000000c4913a5d436b0500074a120380380100" +
 		"140c00000020a107004d00000000000000" +
 		"1c020000000500" +
 		"1813000000110074776f2073657276657273206b6e6f776e"
-	pageCensus = "02000000 074a1203 0000000000000000 0000 0000 02 0000 0000803f " +
+	exampleServerList = "02000000 074a1203 0000000000000000 0000 0000 02 0000 0000803f " +
 		"f211902c 20145d0000000000 0100 0000 02 0000 0000c03f"
 )
 
-func unhex(s string) []byte {
+func mustDecodeHex(s string) []byte {
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
 		panic(err)
@@ -79,8 +80,8 @@
 	return b
 }
 
-func TestDecodePage(t *testing.T) {
-	got, err := decode(t, unhex(pageEmpty+pageBatch))
+func TestDecodeDocumentedExample(t *testing.T) {
+	got, err := decodeAll(t, mustDecodeHex(exampleEmptyBatch+exampleBatch))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +120,7 @@
 			decide.Event{Kind: decide.Request, ID: 7, Class: 2, Budget: ms, Tenant: 3, Repeat: true, Write: true}},
 	}
 	for _, tt := range tests {
-		got, err := decode(t, frame(9, "12 0100", "19 02"+pageCensus, tt.record))
+		got, err := decodeAll(t, frame(9, "12 0100", "19 02"+exampleServerList, tt.record))
 		if err != nil || len(got) != 1 {
 			t.Errorf("%s: %v, %d records", tt.record, err, len(got))
 			continue
@@ -128,7 +129,7 @@
 			t.Errorf("%s: (-want +got)\n%s", tt.record, diff)
 		}
 	}
-	got, err := decode(t, frame(9, "12 0100", "1b 0500000000000000 03000000 613d62", "14"))
+	got, err := decodeAll(t, frame(9, "12 0100", "1b 0500000000000000 03000000 613d62", "14"))
 	if err != nil || len(got) != 2 || got[0].Op != Launch || got[0].Seed != 5 ||
 		string(got[0].Settings) != "a=b" || got[1].Op != Down {
 		t.Errorf("launch and down: %v %+v", err, got)
@@ -136,37 +137,37 @@
 }
 
 func TestDecodeBadInput(t *testing.T) {
-	at := "12 0100"
+	target := "12 0100"
 	tests := []struct {
 		name  string
 		input []byte
 		want  string
 	}{
-		{"header cut short", unhex(pageEmpty)[:9], "batch header"},
-		{"length under the count", unhex("5a5c800000000000 03000000 00000000"), "length 3"},
-		{"huge length, no bytes", unhex("5a5c800000000000 ffffff3f 00000000"), "unexpected EOF"},
-		{"length over the limit", unhex("5a5c800000000000 ffffffff 00000000"), "is over"},
-		{"more records than bytes", unhex("5a5c800000000000 04000000 09000000"), "9 records do not fit"},
-		{"clock out of range", unhex("ffffffffffffffff 04000000 00000000"), "out of range"},
-		{"clock goes back", append(frame(9), frame(8)...), "went back"},
-		{"bytes left over", append(unhex("5a5c800000000000 05000000 00000000"), 1), "after its last record"},
-		{"record longer than the batch", unhex("5a5c800000000000 0b000000 01000000 12ff0000000100"), "left in the batch"},
-		{"record too short", frame(9, at, "17 4d00"), "elapsed: fields cut short"},
-		{"record too long", frame(9, at, "17 4d0000000000000000"), "elapsed: 1 bytes after"},
-		{"count beyond its record", frame(9, at, "15 0200 ff00 6869"), "inbox: fields cut short"},
-		{"settings beyond their record", frame(9, at, "1b 0500000000000000 ffffffff 61"), "launch: fields cut short"},
-		{"report beyond its record", frame(9, at, "10 05000000 0100 e8030000 ff"), "status_back: fields cut short"},
-		{"census count", frame(9, "19 02 ffffffff"), "census): 4294967295 entries"},
-		{"census number", frame(9, "19 10 00000000"), "list number 16"},
-		{"census state", frame(9, "19 02 01000000 074a1203 0000000000000000 0000 0000 07 0000 0000803f"), "stage_state 7"},
-		{"unknown list", frame(9, at, "18 00 05 0000000000000000"), "list number 5 was never sent"},
-		{"unknown form", frame(9, at, "18 07 05 0000000000000000"), "unknown form 7"},
-		{"unknown code", frame(9, at, "63"), "unknown code 99"},
-		{"unknown outcome", frame(9, at, "10 05000000 6300 e8030000 00"), "unknown outcome 99"},
-		{"nobody addressed", frame(9, "14"), "no target_instance"},
+		{"truncated header", mustDecodeHex(exampleEmptyBatch)[:9], "batch header"},
+		{"length too short for the count", mustDecodeHex("5a5c800000000000 03000000 00000000"), "length 3"},
+		{"large length without body", mustDecodeHex("5a5c800000000000 ffffff3f 00000000"), "unexpected EOF"},
+		{"length over the limit", mustDecodeHex("5a5c800000000000 ffffffff 00000000"), "exceeds 1073741824"},
+		{"more records than bytes", mustDecodeHex("5a5c800000000000 04000000 09000000"), "9 records do not fit"},
+		{"clock out of range", mustDecodeHex("ffffffffffffffff 04000000 00000000"), "out of range"},
+		{"clock goes backwards", append(frame(9), frame(8)...), "went backwards"},
+		{"trailing bytes", append(mustDecodeHex("5a5c800000000000 05000000 00000000"), 1), "after the last record"},
+		{"record longer than the batch", mustDecodeHex("5a5c800000000000 0b000000 01000000 12ff0000000100"), "left in the batch"},
+		{"record too short", frame(9, target, "17 4d00"), "elapsed: fields truncated"},
+		{"record too long", frame(9, target, "17 4d0000000000000000"), "elapsed: 1 bytes after"},
+		{"count beyond its record", frame(9, target, "15 0200 ff00 6869"), "inbox: fields truncated"},
+		{"settings beyond their record", frame(9, target, "1b 0500000000000000 ffffffff 61"), "launch: fields truncated"},
+		{"load report beyond its record", frame(9, target, "10 05000000 0100 e8030000 ff"), "status_back: fields truncated"},
+		{"server list count", frame(9, "19 02 ffffffff"), "census): 4294967295 entries"},
+		{"server list number", frame(9, "19 10 00000000"), "list number 16"},
+		{"server list state", frame(9, "19 02 01000000 074a1203 0000000000000000 0000 0000 07 0000 0000803f"), "stage_state 7"},
+		{"unknown list", frame(9, target, "18 00 05 0000000000000000"), "list number 5 has not been sent"},
+		{"unknown form", frame(9, target, "18 07 05 0000000000000000"), "unknown form 7"},
+		{"unknown code", frame(9, target, "63"), "unknown code 99"},
+		{"unknown outcome", frame(9, target, "10 05000000 6300 e8030000 00"), "unknown outcome 99"},
+		{"no instance addressed", frame(9, "14"), "no preceding target_instance"},
 	}
 	for _, tt := range tests {
-		_, err := decode(t, tt.input)
+		_, err := decodeAll(t, tt.input)
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
 			t.Errorf("%s: error %v, want one with %q", tt.name, err, tt.want)
 		}
@@ -176,7 +177,7 @@
 	}
 }
 
-func TestEncodePage(t *testing.T) {
+func TestEncodeDocumentedExample(t *testing.T) {
 	var e Encoder
 	e.Reset()
 	if got := hex.EncodeToString(e.Bytes()); got != "0400000000000000" {
@@ -187,8 +188,8 @@
 		{Kind: decide.Send, ID: 0x56b435d3a91c4, Server: 0x03124a07, Timeout: 80 * time.Millisecond},
 		{Kind: decide.Wake, Wait: 500 * time.Millisecond, Token: 0x4d}})
 	e.Actions(5, []decide.Action{{Kind: decide.Log, Text: "two servers known"}})
-	if got := hex.EncodeToString(e.Bytes()); got != pageReply {
-		t.Errorf("got  %s\nwant %s", got, pageReply)
+	if got := hex.EncodeToString(e.Bytes()); got != exampleReply {
+		t.Errorf("got  %s\nwant %s", got, exampleReply)
 	}
 }
 
@@ -226,11 +227,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(unhex(pageEmpty + pageBatch))
-	f.Add(frame(9, "12 0100", "19 02"+pageCensus, "18 03 02 2900000000000000"))
+	f.Add(mustDecodeHex(exampleEmptyBatch + exampleBatch))
+	f.Add(frame(9, "12 0100", "19 02"+exampleServerList, "18 03 02 2900000000000000"))
 	f.Add(frame(9, "19 02 ffffffff"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		decode(t, b)
+		decodeAll(t, b)
 	})
 }
 
