--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -1,5 +1,5 @@
-// Package operator is the admin listener: each connection carries one line, a command, and gets one answer that begins
-// with ACK or NAK. Parse is pure; Listener does the I/O.
+// Package operator implements the admin listener. Each connection carries one command line and gets one response:
+// STATS returns figures, every other command a line that begins with ACK or NAK. Parse does no I/O; Listener does.
 package operator
 
 import (
@@ -8,60 +8,61 @@
 	"strings"
 )
 
-// Verb is what a command asks for.
+// Verb is the action that a command requests.
 type Verb uint8
 
-// The verbs of commands.
+// The verbs.
 const (
-	Ready       Verb = iota + 1 // whether this process can serve
-	Stats                       // the figures, then a line "--"
-	Disable                     // leave worker ID out
-	Enable                      // use worker ID again
-	Drain                       // steer the clients away from this sidecar
-	Undrain                     // back to work
-	DisableHall                 // leave all workers of hall ID out
-	EnableHall                  // use hall ID again
+	Ready       Verb = iota + 1 // report whether this process can serve
+	Stats                       // report the figures, followed by a line "--"
+	Disable                     // take worker ID out of use
+	Enable                      // put worker ID back into use
+	Drain                       // direct clients away from this sidecar
+	Undrain                     // end draining
+	DisableHall                 // take all workers of zone ID out of use
+	EnableHall                  // put zone ID back into use
 )
 
-// verbs names each verb and what its id is of, "" where it takes none.
+// verbs maps command words to verbs and to what their ID identifies, "" if they take no ID. Commands and responses call
+// a zone a hall.
 var verbs = map[string]struct {
-	verb Verb
-	of   string
+	verb   Verb
+	idKind string
 }{
 	"READY": {Ready, ""}, "STATS": {Stats, ""}, "DISABLE": {Disable, "worker"}, "ENABLE": {Enable, "worker"},
 	"DISABLE-HALL": {DisableHall, "hall"}, "ENABLE-HALL": {EnableHall, "hall"}, "DRAIN": {Drain, ""}, "UNDRAIN": {Undrain, ""},
 }
 
-// MaxLine is the longest line that the listener reads, in bytes, its end of line included.
+// MaxLine is the longest line that the listener reads, in bytes, including the line ending.
 const MaxLine = 256
 
-// Command is one parsed line.
+// Command is a parsed command line.
 type Command struct {
 	Verb Verb
-	ID   string // of a worker, for Disable and Enable; of a hall, for DisableHall and EnableHall
+	ID   string // a worker for Disable and Enable, a zone for DisableHall and EnableHall
 }
 
-// ErrEmpty is the error of a line with no command on it.
-var ErrEmpty = errors.New("no command")
+// ErrNoCommand is returned for an empty line.
+var ErrNoCommand = errors.New("no command")
 
-// Parse reads one line, without its end of line. Words are split by spaces or tabs; the verb is upper case. The
-// error is the reason given with NAK.
+// Parse parses one line, given without its line ending. Words are separated by spaces or tabs; the verb is upper case.
+// The text of the error is sent with NAK.
 func Parse(line string) (Command, error) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Command{}, ErrEmpty
+		return Command{}, ErrNoCommand
 	}
 	v, ok := verbs[words[0]]
 	switch {
 	case !ok:
 		return Command{}, fmt.Errorf("unknown command %.32q", words[0])
-	case v.of != "" && len(words) < 2:
-		return Command{}, fmt.Errorf("%s: the id of a %s is missing", words[0], v.of)
-	case v.of != "" && len(words) > 2, v.of == "" && len(words) > 1:
+	case v.idKind != "" && len(words) < 2:
+		return Command{}, fmt.Errorf("%s: the id of a %s is missing", words[0], v.idKind)
+	case v.idKind != "" && len(words) > 2, v.idKind == "" && len(words) > 1:
 		return Command{}, fmt.Errorf("%s: too many words", words[0])
 	}
 	c := Command{Verb: v.verb}
-	if v.of != "" {
+	if v.idKind != "" {
 		c.ID = words[1]
 	}
 	return c, nil
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -11,123 +11,125 @@
 	"time"
 )
 
-// Handler carries out the listener's commands. Each method but Order returns at once: none may wait for calls or workers.
+// Handler executes the listener's commands. Every method except Order must return at once, without waiting for calls
+// or workers.
 type Handler interface {
 	Ready() bool
-	Stats() []byte // the figures as one line of JSON, without its end
-	// Order carries out Disable, Enable, DisableHall or EnableHall. It returns where that holds, "" where there is but one
-	// place, or the reason given with NAK; the state is then unchanged. It may take up to OrderTime.
-	Order(c Command) (holds string, err error)
-	Drain()   // steer clients away; again is harmless
-	Undrain() // back to work; again is harmless
+	Stats() []byte // the figures as one line of JSON, without a newline
+	// Order executes Disable, Enable, DisableHall or EnableHall within OrderTime. It returns the scope in which the change
+	// applies, "" if there is only one. If it fails, the state is unchanged and the error is sent with NAK.
+	Order(c Command) (scope string, err error)
+	Drain()   // direct clients away; idempotent
+	Undrain() // end draining; idempotent
 }
 
 const (
-	// LineTime is how long a connection has for its line, counted from its acceptance; then it is closed.
-	LineTime = time.Second
-	// OrderTime is the longest that an order may take, so that its answer is out within a second.
+	// LineTimeout is how long after its accept a connection may take to send its line before it is closed.
+	LineTimeout = time.Second
+	// OrderTime bounds Handler.Order, so that the response is sent within a second.
 	OrderTime = 800 * time.Millisecond
-	// writeTime bounds the answer: an operator who reads nothing back holds nothing for longer.
-	writeTime = time.Second
-	// MaxConns is the most connections that the listener holds at once.
+	// writeTimeout bounds writing the response, so that a client that does not read cannot hold its connection.
+	writeTimeout = time.Second
+	// MaxConns is the maximum number of open connections.
 	MaxConns = 32
-	// acceptPause is the rest after a failed accept, such as one for want of descriptors.
-	acceptPause = 5 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept, for example when file descriptors have run out.
+	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// Listener serves operators' connections: one line each, one answer, then the connection ends.
+// Listener serves admin connections: each sends one line, gets one response and is closed.
 type Listener struct {
 	Handler Handler
 	Log     *slog.Logger
 
-	mu      sync.Mutex
-	waiting list.List // of net.Conn that have not sent their line yet, the oldest first
-	open    int
-	serving sync.WaitGroup
+	mu          sync.Mutex
+	waiting     list.List // net.Conn values that have not sent their line, oldest first
+	open        int
+	connections sync.WaitGroup
 }
 
-// Serve accepts until ln is closed and returns when every connection has ended.
-func (d *Listener) Serve(ln net.Listener) {
-	defer d.serving.Wait()
+// Serve accepts connections until ln is closed and returns when every connection has ended.
+func (l *Listener) Serve(ln net.Listener) {
+	defer l.connections.Wait()
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		place := d.admit(conn)
-		d.serving.Go(func() { d.serve(conn, place) })
+		pending := l.admit(conn)
+		l.connections.Go(func() { l.serve(conn, pending) })
 	}
 }
 
-// admit counts a connection in; at the limit the oldest that has not sent its line is closed to make room.
-func (d *Listener) admit(conn net.Conn) *list.Element {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.open >= MaxConns {
-		if oldest := d.waiting.Front(); oldest != nil {
-			d.waiting.Remove(oldest)
+// admit registers a connection. At MaxConns it first closes the oldest connection that has not sent its line.
+func (l *Listener) admit(conn net.Conn) *list.Element {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.open >= MaxConns {
+		if oldest := l.waiting.Front(); oldest != nil {
+			l.waiting.Remove(oldest)
 			conn := oldest.Value.(net.Conn)
 			oldest.Value = nil
 			conn.Close()
 		}
 	}
-	d.open++
-	return d.waiting.PushBack(conn)
+	l.open++
+	return l.waiting.PushBack(conn)
 }
 
-// heard takes a connection off the waiting list. It is false where the connection was closed to make room.
-func (d *Listener) heard(place *list.Element) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if place.Value == nil {
+// removePending removes a connection from the waiting list. It returns false if admit has closed the connection.
+func (l *Listener) removePending(pending *list.Element) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if pending.Value == nil {
 		return false
 	}
-	d.waiting.Remove(place)
-	place.Value = nil
+	l.waiting.Remove(pending)
+	pending.Value = nil
 	return true
 }
 
-func (d *Listener) serve(conn net.Conn, place *list.Element) {
+// serve reads a connection's line, writes the response and closes the connection.
+func (l *Listener) serve(conn net.Conn, pending *list.Element) {
 	defer func() {
 		conn.Close()
-		d.mu.Lock()
-		if place.Value != nil {
-			d.waiting.Remove(place)
-			place.Value = nil
+		l.mu.Lock()
+		if pending.Value != nil {
+			l.waiting.Remove(pending)
+			pending.Value = nil
 		}
-		d.open--
-		d.mu.Unlock()
+		l.open--
+		l.mu.Unlock()
 	}()
-	conn.SetReadDeadline(time.Now().Add(LineTime))
+	conn.SetReadDeadline(time.Now().Add(LineTimeout))
 	r := bufio.NewReaderSize(conn, MaxLine)
 	line, err := r.ReadSlice('\n')
-	if !d.heard(place) {
+	if !l.removePending(pending) {
 		return
 	}
-	var answer []byte
+	var response []byte
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		answer = []byte("NAK line longer than 256 bytes\n")
+		response = []byte("NAK line longer than 256 bytes\n")
 	case err != nil:
-		return // silent, half a line, or gone: nobody to answer
+		return // timed out or closed before a whole line
 	default:
-		answer = d.answer(strings.TrimRight(string(line), "\r\n"))
+		response = l.execute(strings.TrimRight(string(line), "\r\n"))
 	}
-	conn.SetWriteDeadline(time.Now().Add(writeTime))
-	conn.Write(answer)
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	conn.Write(response)
 }
 
-// answer carries out one line's command and gives the whole answer.
-func (d *Listener) answer(line string) []byte {
+// execute runs the command on a line and returns the complete response.
+func (l *Listener) execute(line string) []byte {
 	c, err := Parse(line)
 	if err != nil {
 		return nak(err)
 	}
-	h := d.Handler
+	h := l.Handler
 	switch c.Verb {
 	case Ready:
 		if h.Ready() {
@@ -135,25 +137,25 @@
 		}
 		return []byte("NAK not ready\n")
 	case Stats:
-		return append(h.Stats(), "\n--\n"...) // the figures are the answer: no ACK line before them
+		return append(h.Stats(), "\n--\n"...) // the figures are sent without an ACK line
 	case Disable, Enable, DisableHall, EnableHall:
-		done := "disabled "
+		result := "disabled "
 		if c.Verb == Enable || c.Verb == EnableHall {
-			done = "enabled "
+			result = "enabled "
 		}
-		holds, err := h.Order(c)
+		scope, err := h.Order(c)
 		if err != nil {
 			return nak(err)
 		}
-		d.Log.Info("operator", "command", line, "holds", holds)
-		return []byte(strings.TrimRight("ACK "+done+c.ID+" "+holds, " ") + "\n")
+		l.Log.Info("operator", "command", line, "holds", scope)
+		return []byte(strings.TrimRight("ACK "+result+c.ID+" "+scope, " ") + "\n")
 	case Drain:
 		h.Drain()
-		d.Log.Info("operator", "command", "drain")
+		l.Log.Info("operator", "command", "drain")
 		return []byte("ACK draining\n")
 	default:
 		h.Undrain()
-		d.Log.Info("operator", "command", "undrain")
+		l.Log.Info("operator", "command", "undrain")
 		return []byte("ACK serving\n")
 	}
 }
--- a/internal/operator/main_test.go
+++ b/internal/operator/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// Whatever a test has ended leaves no goroutine behind.
+// TestMain fails if a test leaves goroutines running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -44,42 +44,42 @@
 	}
 }
 
-// handler keeps what the door told it.
-type handler struct {
-	mu      sync.Mutex
-	ready   bool
-	out     map[string]bool
-	drained bool
+// fakeHandler records the commands that the admin listener passes on.
+type fakeHandler struct {
+	mu       sync.Mutex
+	ready    bool
+	disabled map[string]bool
+	drained  bool
 }
 
-func (h *handler) Ready() bool   { h.mu.Lock(); defer h.mu.Unlock(); return h.ready }
-func (h *handler) Stats() []byte { return []byte(`{"inflight":0}`) }
-func (h *handler) Order(c Command) (string, error) {
+func (h *fakeHandler) Ready() bool   { h.mu.Lock(); defer h.mu.Unlock(); return h.ready }
+func (h *fakeHandler) Stats() []byte { return []byte(`{"inflight":0}`) }
+func (h *fakeHandler) Order(c Command) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case c.ID == "never":
 		return "", errors.New("no such worker has been listed")
 	case c.Verb == Disable || c.Verb == DisableHall:
-		h.out[c.ID] = true
+		h.disabled[c.ID] = true
 	default:
-		delete(h.out, c.ID)
+		delete(h.disabled, c.ID)
 	}
 	if c.ID == "shared" {
 		return "everywhere", nil
 	}
 	return "", nil
 }
-func (h *handler) Drain()   { h.mu.Lock(); defer h.mu.Unlock(); h.drained = true }
-func (h *handler) Undrain() { h.mu.Lock(); defer h.mu.Unlock(); h.drained = false }
+func (h *fakeHandler) Drain()   { h.mu.Lock(); defer h.mu.Unlock(); h.drained = true }
+func (h *fakeHandler) Undrain() { h.mu.Lock(); defer h.mu.Unlock(); h.drained = false }
 
-func start(t *testing.T) (string, *handler) {
+func startListener(t *testing.T) (string, *fakeHandler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &handler{out: map[string]bool{}}
+	h := &fakeHandler{disabled: map[string]bool{}}
 	d := &Listener{Handler: h, Log: slog.New(slog.DiscardHandler)}
 	done := make(chan struct{})
 	go func() { defer close(done); d.Serve(ln) }()
@@ -87,7 +87,7 @@
 	return ln.Addr().String(), h
 }
 
-func ask(t *testing.T, addr, line string) string {
+func sendLine(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -99,9 +99,9 @@
 	return string(b)
 }
 
-// A session at the door: each line's answer, and what the state is after it. Repeated calls change nothing more.
-func TestDoorSession(t *testing.T) {
-	addr, h := start(t)
+// Checks the response to each command and the handler's state afterwards. Repeated commands have no further effect.
+func TestListenerSession(t *testing.T) {
+	addr, h := startListener(t)
 	steps := []struct{ line, want string }{
 		{"READY\n", "NAK not ready\n"},
 		{"DISABLE s-1\n", "ACK disabled s-1\n"},
@@ -116,19 +116,19 @@
 	}
 	var got, want []string
 	for _, s := range steps {
-		got, want = append(got, ask(t, addr, s.line)), append(want, s.want)
+		got, want = append(got, sendLine(t, addr, s.line)), append(want, s.want)
 	}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	if len(h.out) != 0 || h.drained {
-		t.Errorf("after the session: out %v, drained %v", h.out, h.drained)
+	if len(h.disabled) != 0 || h.drained {
+		t.Errorf("after the session: disabled %v, drained %v", h.disabled, h.drained)
 	}
 }
 
-// Silent callers and half lines are closed at their deadline, and a crowd of them never keeps an operator out.
-func TestDoorSilentCrowd(t *testing.T) {
-	addr, h := start(t)
+// Connections that send no whole line are closed at their deadline, and many of them must not lock an operator out.
+func TestListenerSilentConnections(t *testing.T) {
+	addr, h := startListener(t)
 	h.ready = true
 	var silent []net.Conn
 	for range 3 * MaxConns {
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, "REA") // half a line
+		io.WriteString(c, "REA") // an incomplete line
 		silent = append(silent, c)
 	}
 	defer func() {
@@ -144,13 +144,13 @@
 			c.Close()
 		}
 	}()
-	if got := ask(t, addr, "READY\n"); got != "ACK ready\n" {
-		t.Fatalf("behind %d silent callers: %q", len(silent), got)
+	if got := sendLine(t, addr, "READY\n"); got != "ACK ready\n" {
+		t.Fatalf("READY with %d silent connections open: %q", len(silent), got)
 	}
-	// The last of the silent ones is closed by the door, at the latest after its deadline.
+	// The listener closes the last silent connection after its deadline at the latest.
 	last := silent[len(silent)-1]
-	last.SetReadDeadline(time.Now().Add(10 * LineTime))
+	last.SetReadDeadline(time.Now().Add(10 * LineTimeout))
 	if _, err := bufio.NewReader(last).ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("a half line was answered or kept: %v", err)
+		t.Fatalf("an incomplete line got a response or its connection stayed open: %v", err)
 	}
 }
