--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,5 +1,5 @@
-// Package maintenance holds which workers the operators have taken out of use, and what that makes of what the
-// registry says of them. It does no I/O: the caller stores Encode's bytes and hands Decode what it read.
+// Package maintenance records which workers operators have taken out of use and applies that to the state that the
+// registry reports. It does no I/O: the caller stores what Encode returns and passes what it reads to Decode.
 package maintenance
 
 import (
@@ -12,23 +12,23 @@
 	"burlpass/decide"
 )
 
-// Set is the workers taken out by hand, by the registry's id, and the halls (zones) of which all workers are. The zero Set
-// is empty and ready for use.
+// Set holds the workers disabled by operators, by registry ID, and the zones whose workers are all disabled. The zero
+// Set is empty and ready for use.
 type Set struct {
-	out, halls map[string]bool
+	workers, zones map[string]bool
 }
 
-// Disable takes a worker out. It tells whether that changed anything.
-func (s *Set) Disable(id string) bool { return add(&s.out, id) }
+// Disable disables a worker and reports whether that changed the set.
+func (s *Set) Disable(id string) bool { return add(&s.workers, id) }
 
-// Enable puts a worker back. It tells whether that changed anything.
-func (s *Set) Enable(id string) bool { return remove(s.out, id) }
+// Enable enables a worker and reports whether that changed the set.
+func (s *Set) Enable(id string) bool { return remove(s.workers, id) }
 
-// DisableHall takes all workers of a hall out. It tells whether that changed anything.
-func (s *Set) DisableHall(name string) bool { return add(&s.halls, name) }
+// DisableHall disables all workers of a zone and reports whether that changed the set.
+func (s *Set) DisableHall(name string) bool { return add(&s.zones, name) }
 
-// EnableHall puts a hall back; workers that were taken out by themselves stay out. It tells whether that changed anything.
-func (s *Set) EnableHall(name string) bool { return remove(s.halls, name) }
+// EnableHall enables a zone and reports whether that changed the set. Workers disabled by ID stay disabled.
+func (s *Set) EnableHall(name string) bool { return remove(s.zones, name) }
 
 func add(to *map[string]bool, name string) bool {
 	if (*to)[name] {
@@ -49,34 +49,34 @@
 	return true
 }
 
-// Out tells whether a worker is taken out by itself.
-func (s *Set) Out(id string) bool { return s.out[id] }
+// Out reports whether a worker is disabled by ID.
+func (s *Set) Out(id string) bool { return s.workers[id] }
 
-// Len is the number of workers and halls taken out.
-func (s *Set) Len() int { return len(s.out) + len(s.halls) }
+// Len returns the number of disabled workers and zones.
+func (s *Set) Len() int { return len(s.workers) + len(s.zones) }
 
-// IDs are the workers taken out, in order.
-func (s *Set) IDs() []string { return sorted(s.out) }
+// IDs returns the IDs of the disabled workers, sorted.
+func (s *Set) IDs() []string { return sorted(s.workers) }
 
-// Halls are the halls taken out, in order.
-func (s *Set) Halls() []string { return sorted(s.halls) }
+// Halls returns the names of the disabled zones, sorted.
+func (s *Set) Halls() []string { return sorted(s.zones) }
 
 func sorted(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
 
-// Clone gives a Set of its own with the same workers and halls.
-func (s *Set) Clone() Set { return Set{maps.Clone(s.out), maps.Clone(s.halls)} }
+// Clone returns an independent copy of the set.
+func (s *Set) Clone() Set { return Set{maps.Clone(s.workers), maps.Clone(s.zones)} }
 
-// State is what the module is to be told of a worker that the registry lists as listed, in a hall: one taken out, by itself or
-// with its hall, drains, whatever the registry says, until it is put back; one that is gone is gone.
-func (s *Set) State(id, hall string, listed decide.State) decide.State {
-	if listed != decide.Gone && (s.out[id] || s.halls[hall]) {
+// State returns the state to use for a worker in a zone that the registry reports as listed. A disabled worker, or one
+// in a disabled zone, is draining whatever the registry says, unless it is gone.
+func (s *Set) State(id, zone string, listed decide.State) decide.State {
+	if listed != decide.Gone && (s.workers[id] || s.zones[zone]) {
 		return decide.Draining
 	}
 	return listed
 }
 
-// kind marks the file as this one's, so that a file of something else in the same folder is not taken for it.
-const kind = "burlpass maintenance 1"
+// fileKind identifies a maintenance file, so that another file in the same folder is not read as one.
+const fileKind = "burlpass maintenance 1"
 
 type file struct {
 	Kind  string   `json:"kind"`
@@ -84,24 +84,24 @@
 	Halls []string `json:"halls,omitempty"`
 }
 
-// Encode gives the set as bytes to be kept across a restart.
+// Encode returns the set in the form in which it is stored across restarts.
 func (s *Set) Encode() []byte {
-	out := append([]string{}, s.IDs()...)                              // a list also where it is empty
-	b, _ := json.Marshal(file{Kind: kind, Out: out, Halls: s.Halls()}) // of strings alone: it cannot fail
+	out := append([]string{}, s.IDs()...)                                  // encoded as a list even if empty
+	b, _ := json.Marshal(file{Kind: fileKind, Out: out, Halls: s.Halls()}) // cannot fail: the fields are strings
 	return append(b, '\n')
 }
 
-// ErrForeign says that the bytes are not a set that Encode wrote.
-var ErrForeign = errors.New("not a maintenance file of burlpass")
+// ErrInvalidFile is returned for bytes that Encode did not write.
+var ErrInvalidFile = errors.New("not a maintenance file of burlpass")
 
-// Decode reads what Encode wrote. On an error the set is empty.
+// Decode parses what Encode wrote. On error the set is empty.
 func Decode(b []byte) (Set, error) {
 	var f file
 	if err := json.Unmarshal(b, &f); err != nil {
-		return Set{}, fmt.Errorf("%w: %v", ErrForeign, err)
+		return Set{}, fmt.Errorf("%w: %v", ErrInvalidFile, err)
 	}
-	if f.Kind != kind {
-		return Set{}, fmt.Errorf("%w: kind %.40q", ErrForeign, f.Kind)
+	if f.Kind != fileKind {
+		return Set{}, fmt.Errorf("%w: kind %.40q", ErrInvalidFile, f.Kind)
 	}
 	var s Set
 	for _, id := range f.Out {
@@ -110,8 +110,8 @@
 	for _, name := range f.Halls {
 		s.DisableHall(name)
 	}
-	if s.out[""] || s.halls[""] {
-		return Set{}, fmt.Errorf("%w: an empty id", ErrForeign)
+	if s.workers[""] || s.zones[""] {
+		return Set{}, fmt.Errorf("%w: an empty id", ErrInvalidFile)
 	}
 	return s, nil
 }
