--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,10 +1,11 @@
-// Package trace writes what a sidecar's decision module was told and what it chose, a line an event, for counting
-// across a fleet afterwards; it is a diagnosis, off unless asked for. internal/lab/count reads the lines back.
+// Package trace writes the events that a sidecar's decision module received and the actions it chose, one line per
+// event, so that they can be counted across a fleet. It is a diagnostic that is off by default. internal/lab/count reads
+// the lines.
 //
-// A line is "trace" and key=value pairs parted by spaces: t, the module's clock in microseconds of Unix time; e, the
-// event; then what it carried, and the actions under the key of their name. Workers go by their instance names.
+// A line is "trace" followed by key=value pairs separated by spaces: t, the module's clock in microseconds of Unix time;
+// e, the event; then the event's fields, and the actions with their names as keys. Workers appear by instance name.
 //
-// One process writes in the order of its events; lines of several must be put in order by t.
+// A process writes lines in the order of its events; lines of several processes have to be sorted by t.
 package trace
 
 import (
@@ -14,118 +15,120 @@
 	"burlpass/decide"
 )
 
-// Names tells the instance name of a worker's number, "" where it is no longer listed.
-type Names func(decide.ServerID) string
+// WorkerNames returns the instance name of a worker, "" if the worker is no longer listed.
+type WorkerNames func(decide.ServerID) string
 
-// Writer writes lines to W, each in one call. It is not safe for concurrent use; the router's lock covers it.
+// Writer writes trace lines to W, those of an event in one call. It is not safe for concurrent use; the router's lock
+// guards it.
 type Writer struct {
 	W   io.Writer
 	buf []byte
 }
 
-func (w *Writer) text(key, value string) {
+func (w *Writer) addText(key, value string) {
 	w.buf = append(append(append(append(w.buf, ' '), key...), '='), value...)
 }
 
-func (w *Writer) number(key string, value int64) { w.text(key, strconv.FormatInt(value, 10)) }
+func (w *Writer) addNumber(key string, value int64) { w.addText(key, strconv.FormatInt(value, 10)) }
 
-var events = [...]string{decide.Members: "list", decide.Request: "call", decide.First: "first", decide.Outcome: "outcome",
-	decide.Left: "left", decide.Probed: "probed", decide.Timer: "timer", decide.Peer: "peer"}
+var eventNames = [...]string{decide.Members: "list", decide.Request: "call", decide.First: "first",
+	decide.Outcome: "outcome", decide.Left: "left", decide.Probed: "probed", decide.Timer: "timer", decide.Peer: "peer"}
 
-var statuses = [...]string{"error", "ok", "full", "timeout", "connect", "reset", "cancelled", "moot", "spoilt", "stale"}
+var statusNames = [...]string{"error", "ok", "full", "timeout", "connect", "reset", "cancelled", "moot", "spoilt", "stale"}
 
-// Status names an outcome as the lines have it.
-func Status(s decide.Status) string {
-	if int(s) < len(statuses) {
-		return statuses[s]
+// StatusName returns the name of an outcome used in trace lines.
+func StatusName(s decide.Status) string {
+	if int(s) < len(statusNames) {
+		return statusNames[s]
 	}
 	return strconv.Itoa(int(s))
 }
 
-// Start writes what the sidecar is told of itself.
+// Start writes the sidecar's own configuration.
 func (w *Writer) Start(now int64, c *decide.Config) {
 	w.buf = w.buf[:0]
-	w.begin(now, "start")
-	w.number("zone", int64(c.Zone))
-	w.number("ordinal", int64(c.Ordinal))
-	w.number("balancers", int64(c.Balancers))
+	w.beginLine(now, "start")
+	w.addNumber("zone", int64(c.Zone))
+	w.addNumber("ordinal", int64(c.Ordinal))
+	w.addNumber("balancers", int64(c.Balancers))
 	w.buf = append(w.buf, '\n')
 	w.W.Write(w.buf)
 }
 
-// Event writes one event and the actions that it led to. A list gets a line of its own for each of its workers.
-func (w *Writer) Event(now int64, e *decide.Event, actions []decide.Action, name Names) {
+// Event writes an event and the resulting actions, preceded by a line for each worker in the event's list. A timer
+// without actions is omitted.
+func (w *Writer) Event(now int64, e *decide.Event, actions []decide.Action, workerName WorkerNames) {
 	w.buf = w.buf[:0]
 	for i := range e.Servers {
 		s := &e.Servers[i]
-		w.begin(now, "worker")
-		w.text("worker", name(s.ID))
-		w.number("zone", int64(s.Zone))
-		w.number("kind", int64(s.Kind))
-		w.number("state", int64(s.State))
-		w.number("started", s.Started.Microseconds())
+		w.beginLine(now, "worker")
+		w.addText("worker", workerName(s.ID))
+		w.addNumber("zone", int64(s.Zone))
+		w.addNumber("kind", int64(s.Kind))
+		w.addNumber("state", int64(s.State))
+		w.addNumber("started", s.Started.Microseconds())
 		w.buf = append(w.buf, '\n')
 	}
 	if e.Kind == decide.Timer && len(actions) == 0 {
 		return
 	}
 	kind := "other"
-	if int(e.Kind) < len(events) {
-		kind = events[e.Kind]
+	if int(e.Kind) < len(eventNames) {
+		kind = eventNames[e.Kind]
 	}
-	w.begin(now, kind)
+	w.beginLine(now, kind)
 	switch e.Kind {
 	case decide.Members:
-		w.number("kind", int64(e.List))
-		w.number("version", int64(e.Version))
+		w.addNumber("kind", int64(e.List))
+		w.addNumber("version", int64(e.Version))
 	case decide.Request:
-		w.number("id", int64(e.ID))
-		w.number("class", int64(e.Class))
-		w.number("budget", e.Budget.Microseconds())
+		w.addNumber("id", int64(e.ID))
+		w.addNumber("class", int64(e.Class))
+		w.addNumber("budget", e.Budget.Microseconds())
 	case decide.Outcome, decide.Probed:
 		if e.Kind == decide.Outcome {
-			w.number("id", int64(e.ID))
-			w.number("try", int64(e.Attempt))
+			w.addNumber("id", int64(e.ID))
+			w.addNumber("try", int64(e.Attempt))
 		}
-		w.text("worker", name(e.Server))
-		w.text("status", Status(e.Status))
-		w.number("took", e.Latency.Microseconds())
+		w.addText("worker", workerName(e.Server))
+		w.addText("status", StatusName(e.Status))
+		w.addNumber("took", e.Latency.Microseconds())
 		if e.Fresh {
-			w.number("fresh", 1)
+			w.addNumber("fresh", 1)
 		}
 	case decide.Left:
-		w.number("id", int64(e.ID))
+		w.addNumber("id", int64(e.ID))
 	}
 	for i := range actions {
-		w.action(&actions[i], name)
+		w.addAction(&actions[i], workerName)
 	}
 	w.buf = append(w.buf, '\n')
 	w.W.Write(w.buf)
 }
 
-func (w *Writer) begin(now int64, kind string) {
+func (w *Writer) beginLine(now int64, kind string) {
 	w.buf = append(w.buf, "trace"...)
-	w.number("t", now)
-	w.text("e", kind)
+	w.addNumber("t", now)
+	w.addText("e", kind)
 }
 
-func (w *Writer) action(a *decide.Action, name Names) {
+func (w *Writer) addAction(a *decide.Action, workerName WorkerNames) {
 	switch a.Kind {
 	case decide.Send:
-		w.text("send", strconv.FormatUint(a.ID, 10)+"@"+name(a.Server))
+		w.addText("send", strconv.FormatUint(a.ID, 10)+"@"+workerName(a.Server))
 	case decide.Refuse:
-		w.text("refuse", strconv.FormatUint(a.ID, 10)+"@"+strconv.FormatInt(a.Wait.Microseconds(), 10))
+		w.addText("refuse", strconv.FormatUint(a.ID, 10)+"@"+strconv.FormatInt(a.Wait.Microseconds(), 10))
 	case decide.Fail:
-		w.text("fail", strconv.FormatUint(a.ID, 10))
+		w.addText("fail", strconv.FormatUint(a.ID, 10))
 	case decide.Cancel:
-		w.text("cancel", strconv.FormatUint(a.ID, 10))
+		w.addText("cancel", strconv.FormatUint(a.ID, 10))
 	case decide.Probe:
-		w.text("probe", name(a.Server))
+		w.addText("probe", workerName(a.Server))
 	case decide.Watch:
-		w.text("watch", strconv.FormatBool(a.On))
+		w.addText("watch", strconv.FormatBool(a.On))
 	case decide.Fetch:
-		w.text("fetch", "true")
+		w.addText("fetch", "true")
 	case decide.Mark:
-		w.text(a.Text, name(a.Server))
+		w.addText(a.Text, workerName(a.Server))
 	}
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -10,9 +10,9 @@
 	"burlpass/decide"
 )
 
-// The lines are what other tools read: they must not change unseen.
+// Other tools read these lines, so a change of their format must be noticed.
 func TestLines(t *testing.T) {
-	names := func(id decide.ServerID) string { return map[decide.ServerID]string{1: "s-a", 2: "s-b"}[id] }
+	workerName := func(id decide.ServerID) string { return map[decide.ServerID]string{1: "s-a", 2: "s-b"}[id] }
 	for name, test := range map[string]struct {
 		event   decide.Event
 		actions []decide.Action
@@ -30,12 +30,12 @@
 		"list": {decide.Event{Kind: decide.Members, List: decide.ListDelta, Version: 4, Servers: []decide.Server{{ID: 2, Zone: 3, Kind: 1,
 			State: decide.Ready, Started: time.Second}}}, []decide.Action{{Kind: decide.Watch, On: true}, {Kind: decide.Probe, Server: 9}},
 			"trace t=5 e=worker worker=s-b zone=3 kind=1 state=2 started=1000000\ntrace t=5 e=list kind=2 version=4 watch=true probe=\n"},
-		"timer that does nothing": {decide.Event{Kind: decide.Timer}, nil, ""},
-		"a status of later":       {decide.Event{Kind: decide.Probed, Server: 1, Status: 77}, nil, "trace t=5 e=probed worker=s-a status=77 took=0\n"},
+		"timer without actions": {decide.Event{Kind: decide.Timer}, nil, ""},
+		"unknown status":        {decide.Event{Kind: decide.Probed, Server: 1, Status: 77}, nil, "trace t=5 e=probed worker=s-a status=77 took=0\n"},
 	} {
 		var out bytes.Buffer
 		w := Writer{W: &out}
-		w.Event(5, &test.event, test.actions, names)
+		w.Event(5, &test.event, test.actions, workerName)
 		if diff := cmp.Diff(test.want, out.String()); diff != "" {
 			t.Errorf("%s: (-want +got)\n%s", name, diff)
 		}
