--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// Each rule has a name of its own, a count of its own, and a log line with the request's id and what was known.
-func TestBroken(t *testing.T) {
+// Each rule has a distinct name, its own count, and a log line with the request's ID and the given attributes.
+func TestMonitorReportsEachRule(t *testing.T) {
 	var out bytes.Buffer
 	m := NewMonitor(slog.New(slog.NewTextHandler(&out, nil)))
 	seen := map[string]bool{}
-	for rule := range rules {
+	for rule := range ruleCount {
 		if name := rule.String(); name == "" || seen[name] {
-			t.Errorf("rule %d is called %q", rule, name)
+			t.Errorf("rule %d has the empty or duplicate name %q", rule, name)
 		}
 		seen[rule.String()] = true
 		m.Broken(rule, "t1", "late", "5s")
@@ -30,8 +30,8 @@
 	}
 }
 
-// A part that was given no monitor checks all the same.
-func TestNone(t *testing.T) {
+// Callers without a monitor report violations to a nil Monitor, which must do nothing.
+func TestNilMonitor(t *testing.T) {
 	var m *Monitor
 	m.Broken(ExitInTime, "")
 	if m.Total() != 0 {
