--- a/internal/clustertest/run/faulty.go
+++ b/internal/clustertest/run/faulty.go
@@ -10,8 +10,8 @@
 		"internal/cluster/observer/disk.go", "internal/cluster/observer/observer.go"
 	return sim.Mutant{Name: "faulty", About: "a clock that can be wrong and a disk that can be slow", Edits: []sim.Edit{
 		// Every line of a lease is looked at.
-		{File: "internal/logging/logging.go", Old: "	LineRate   = 20 ", New: "	LineRate   = 5000 "},
-		{File: "internal/logging/logging.go", Old: "	LineBurst  = 60 ", New: "	LineBurst  = 5000 "},
+		{File: "internal/logging/logging.go", Old: "	LinesPerSecond   = 20 ", New: "	LinesPerSecond   = 5000 "},
+		{File: "internal/logging/logging.go", Old: "	LineBurst        = 60 ", New: "	LineBurst        = 5000 "},
 		{File: config, Old: "import (\n", New: "import (\n\t\"os\"\n\t\"path/filepath\"\n\t\"strconv\"\n"},
 		{File: config, Old: "\t\tc.Now = time.Now\n", New: `		beside := filepath.Join(filepath.Dir(c.Folder), "clock")
 		c.Now = func() time.Time {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the program's structured logger: log/slog records as key=value text or JSON, one line an
-// event, the message under the key "event". What strangers can bring about is bounded twice: a value is cut at
-// MaxValue bytes, and of each event only so many lines a second are written; the rest are counted.
+// Package logging creates the program's structured logger: log/slog records as key=value text or JSON, one line per
+// event, with the message under the key "event". To bound what untrusted peers can cause to be logged, values are
+// truncated to MaxValueBytes and the lines of each event are rate-limited; suppressed lines are counted.
 package logging
 
 import (
@@ -15,23 +15,23 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of what is written.
+// Limits of what is written.
 const (
-	MaxValue   = 512 // bytes of one text value
-	LineRate   = 20  // lines a second of one event, lastingly
-	LineBurst  = 60  // lines of one event at once
-	maxTallies = 256 // events told apart; more share one tally
+	MaxValueBytes    = 512 // of one text value
+	LinesPerSecond   = 20  // sustained rate per event
+	LineBurst        = 60  // lines of one event written without delay
+	maxTrackedEvents = 256 // events with a limiter of their own; the others share one
 )
 
-// Options say how records are written.
+// Options configures a logger.
 type Options struct {
-	Format string     // "text" (key=value, also where empty) or "json"
+	Format string     // "text" (key=value, the default) or "json"
 	Level  slog.Level // records below it are not written
 }
 
-// New returns a logger that writes to w. The error names an unknown format.
+// New returns a logger that writes to w. It fails if the format is unknown.
 func New(w io.Writer, o Options) (*slog.Logger, error) {
-	h := &slog.HandlerOptions{Level: o.Level, ReplaceAttr: replace}
+	h := &slog.HandlerOptions{Level: o.Level, ReplaceAttr: replaceAttr}
 	var inner slog.Handler
 	switch o.Format {
 	case "", "text":
@@ -39,100 +39,102 @@
 	case "json":
 		inner = slog.NewJSONHandler(w, h)
 	default:
-		return nil, fmt.Errorf("log format %q: text or json is expected", o.Format)
+		return nil, fmt.Errorf("unknown log format %q: expected text or json", o.Format)
 	}
-	return slog.New(&bounded{Handler: inner, tallies: &tallies{of: map[string]*tally{}}}), nil
+	return slog.New(&rateLimitedHandler{Handler: inner, limiters: &eventLimiters{byEvent: map[string]*eventLimiter{}}}), nil
 }
 
 // Discard returns a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func replace(groups []string, a slog.Attr) slog.Attr {
+// replaceAttr renames the message key to "event" and truncates texts and errors.
+func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.MessageKey {
 		a.Key = "event"
 	}
 	switch a.Value.Kind() {
 	case slog.KindString:
-		a.Value = slog.StringValue(cut(a.Value.String()))
+		a.Value = slog.StringValue(truncate(a.Value.String()))
 	case slog.KindAny:
 		if err, ok := a.Value.Any().(error); ok {
-			a.Value = slog.StringValue(cut(err.Error()))
+			a.Value = slog.StringValue(truncate(err.Error()))
 		}
 	}
 	return a
 }
 
-// cut shortens a text at a rune's border.
-func cut(s string) string {
-	if len(s) <= MaxValue {
+// truncate shortens a text to MaxValueBytes at a rune boundary.
+func truncate(s string) string {
+	if len(s) <= MaxValueBytes {
 		return s
 	}
-	n := MaxValue
+	n := MaxValueBytes
 	for n > 0 && !utf8.RuneStart(s[n]) {
 		n--
 	}
 	return s[:n] + "..."
 }
 
-// bounded passes on so many records of each event a second.
-type bounded struct {
+// rateLimitedHandler limits the rate of records per event.
+type rateLimitedHandler struct {
 	slog.Handler
-	tallies *tallies
+	limiters *eventLimiters
 }
 
-type tallies struct {
-	mu sync.Mutex
-	of map[string]*tally
+// eventLimiters holds the limiters by event.
+type eventLimiters struct {
+	mu      sync.Mutex
+	byEvent map[string]*eventLimiter
 }
 
-// tally is an event's bound and the count of records held back since the last that passed.
-type tally struct {
+// eventLimiter limits an event and counts the records suppressed since the last one written.
+type eventLimiter struct {
 	*rate.Limiter
-	held int
+	suppressed int
 }
 
-// take tells whether a record of an event may be written at a time, and how many were held back before it.
-func (t *tallies) take(event string, now time.Time) (held int, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	y := t.of[event]
-	if y == nil {
-		if len(t.of) >= maxTallies {
+// allow reports whether a record of an event may be written now, and how many were suppressed before it.
+func (l *eventLimiters) allow(event string, now time.Time) (suppressed int, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limiter := l.byEvent[event]
+	if limiter == nil {
+		if len(l.byEvent) >= maxTrackedEvents {
 			event = ""
 		}
-		if y = t.of[event]; y == nil {
-			y = &tally{Limiter: rate.NewLimiter(LineRate, LineBurst)}
-			t.of[event] = y
+		if limiter = l.byEvent[event]; limiter == nil {
+			limiter = &eventLimiter{Limiter: rate.NewLimiter(LinesPerSecond, LineBurst)}
+			l.byEvent[event] = limiter
 		}
 	}
-	if !y.AllowN(now, 1) {
-		y.held++
+	if !limiter.AllowN(now, 1) {
+		limiter.suppressed++
 		return 0, false
 	}
-	held, y.held = y.held, 0
-	return held, true
+	suppressed, limiter.suppressed = limiter.suppressed, 0
+	return suppressed, true
 }
 
-// Handle writes a record, or counts it where its event has had its share; the next that passes carries the count
+// Handle writes a record, or counts it if its event is over the limit. The next record written carries the count
 // under the key "suppressed".
-func (b *bounded) Handle(ctx context.Context, r slog.Record) error {
-	held, ok := b.tallies.take(r.Message, r.Time)
+func (h *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	suppressed, ok := h.limiters.allow(r.Message, r.Time)
 	if !ok {
 		return nil
 	}
-	if held > 0 {
+	if suppressed > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int("suppressed", held))
+		r.AddAttrs(slog.Int("suppressed", suppressed))
 	}
-	return b.Handler.Handle(ctx, r)
+	return h.Handler.Handle(ctx, r)
 }
 
-// WithAttrs returns a handler with further attributes that shares this one's bounds.
-func (b *bounded) WithAttrs(a []slog.Attr) slog.Handler {
-	return &bounded{Handler: b.Handler.WithAttrs(a), tallies: b.tallies}
+// WithAttrs returns a handler with additional attributes that shares this handler's limits.
+func (h *rateLimitedHandler) WithAttrs(a []slog.Attr) slog.Handler {
+	return &rateLimitedHandler{Handler: h.Handler.WithAttrs(a), limiters: h.limiters}
 }
 
-// WithGroup returns a handler of a group that shares this one's bounds.
-func (b *bounded) WithGroup(name string) slog.Handler {
-	return &bounded{Handler: b.Handler.WithGroup(name), tallies: b.tallies}
+// WithGroup returns a handler for a group that shares this handler's limits.
+func (h *rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitedHandler{Handler: h.Handler.WithGroup(name), limiters: h.limiters}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -26,12 +26,13 @@
 		}
 	}
 	if _, err := New(nil, Options{Format: "xml"}); err == nil {
-		t.Error("an unknown format was taken")
+		t.Error("an unknown format was accepted")
 	}
 }
 
-// A client that provokes a line with each byte must fill neither the disk nor a line; other events still pass.
-func TestBounds(t *testing.T) {
+// A client that causes a log line with every byte must not fill the disk or write endless lines. Other events are
+// still logged.
+func TestRateAndSizeLimits(t *testing.T) {
 	var out bytes.Buffer
 	log, _ := New(&out, Options{})
 	h := log.Handler()
@@ -45,10 +46,10 @@
 		write("call_rejected", time.Duration(i)*100*time.Microsecond, strings.Repeat("é", 5000))
 	}
 	lines := strings.Count(out.String(), "\n")
-	if lines < LineBurst || lines > LineBurst+LineRate+1 {
+	if lines < LineBurst || lines > LineBurst+LinesPerSecond+1 {
 		t.Errorf("%d lines of one event in a second", lines)
 	}
-	if most := lines * (MaxValue + 200); out.Len() > most {
+	if most := lines * (MaxValueBytes + 200); out.Len() > most {
 		t.Errorf("%d bytes, more than %d", out.Len(), most)
 	}
 	out.Reset()
