--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,18 +1,18 @@
-// Package config reads TOML into structs, strictly: an unknown key, a wrong type or unit and a value out of range
-// are each reported with file, line, column and what was expected, all of them and not only the first.
+// Package config decodes TOML into structs strictly. Unknown keys, wrong types or units and values out of range are
+// all reported, each with file, line, column and what was expected.
 //
-// go-toml reads the text; this package adds the places and the checks. A struct's fields are described by tags:
+// go-toml parses the text; this package adds positions and validation. Struct tags describe the fields:
 //
-//	toml:"name"       the key (a field without it is not read)
-//	default:"500ms"   the value where the key is absent
-//	required:"true"   the key must be there
-//	range:"1ms..1h"   least and most value, either may be missing
-//	oneof:"a b"       the words that are allowed
-//	doc:"..."         what it is, for the reference page
+//	toml:"name"       the key; fields without this tag are ignored
+//	default:"500ms"   the value if the key is absent
+//	required:"true"   the key must be present
+//	range:"1ms..1h"   minimum and maximum, either may be omitted
+//	oneof:"a b"       the allowed values
+//	doc:"..."         the description on the reference page
 //
-// The types are string, bool, int, float64, time.Duration ("500ms": a number with a unit, as time.ParseDuration
-// reads it), Size ("64KiB"), structs for tables, slices of these, and pointers to structs for tables that may be
-// absent: nil then, with no default and nothing required.
+// Supported types are string, bool, int, float64, time.Duration ("500ms", in the syntax of time.ParseDuration), Size
+// ("64KiB"), structs for tables, slices of these, and pointers to structs for optional tables. An absent optional table
+// is nil; its fields get no defaults and none are required.
 package config
 
 import (
@@ -25,11 +25,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Fault is one thing that is wrong, and where. Line and Column count from 1; 0 where there is no place.
+// Fault is an error in a configuration and its position. Line and Column count from 1 and are 0 if unknown.
 type Fault struct {
 	File         string
 	Line, Column int
-	Key          string // dotted, with [n] for items of lists
+	Key          string // dotted path, with [n] for list items
 	Text         string
 }
 
@@ -45,10 +45,10 @@
 	return at + ": " + f.Text
 }
 
-// Faults is all that is wrong with a file, in the order of the text.
+// Faults holds all errors of a file in the order of the text.
 type Faults []Fault
 
-// Error implements error: each fault on a line of its own.
+// Error implements error. It returns the first error and the number of further ones.
 func (fs Faults) Error() string {
 	if len(fs) == 1 {
 		return fs[0].Error()
@@ -56,55 +56,55 @@
 	return fmt.Sprintf("%s (and %d more)", fs[0].Error(), len(fs)-1)
 }
 
-// File is a decoded file: it knows where each key stands, for checks that come after the decoding.
+// File is a decoded file. It keeps the position of each key for validation after decoding.
 type File struct {
-	Name   string
-	places map[string]Position
-	faults Faults
+	Name      string
+	positions map[string]Position
+	errors    Faults
 }
 
-// Decode reads text into the struct that into points to. The File is never nil; its Err holds every fault.
+// Decode decodes text into the struct that into points to. The File is never nil; its Err returns every error.
 func Decode(name string, text []byte, into any) *File {
-	f := &File{Name: name, places: map[string]Position{}}
+	f := &File{Name: name, positions: map[string]Position{}}
 	values := map[string]any{}
 	if err := toml.Unmarshal(text, &values); err != nil {
 		fault := Fault{File: name, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 		if d, ok := err.(*toml.DecodeError); ok {
 			fault.Line, fault.Column = d.Position()
 		}
-		f.faults = append(f.faults, fault)
+		f.errors = append(f.errors, fault)
 		return f
 	}
-	f.index(text)
-	f.table("", values, reflect.ValueOf(into).Elem())
+	f.indexPositions(text)
+	f.decodeTable("", values, reflect.ValueOf(into).Elem())
 	return f
 }
 
-// Err returns all faults as a Faults, nil where there are none.
+// Err returns all errors as a Faults, or nil if there are none.
 func (f *File) Err() error {
-	if len(f.faults) == 0 {
+	if len(f.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b Fault) int {
+	slices.SortStableFunc(f.errors, func(a, b Fault) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	return f.faults
+	return f.errors
 }
 
-// Fail adds a fault at a key; where the key is absent its table's place stands for it.
+// Fail adds an error at a key, or at the position of the enclosing table if the key is absent.
 func (f *File) Fail(key, format string, args ...any) {
-	at, path := f.places[key], key
+	at, path := f.positions[key], key
 	for at == (Position{}) && path != "" {
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
-		at = f.places[path]
+		at = f.positions[path]
 	}
-	f.faults = append(f.faults, Fault{f.Name, at.Line, at.Column, key, fmt.Sprintf(format, args...)})
+	f.errors = append(f.errors, Fault{f.Name, at.Line, at.Column, key, fmt.Sprintf(format, args...)})
 }
 
-// Failed says whether a fault has been told at a key or at a table or list around it, so that what is missing there
-// is not told again. The empty key stands for the text itself: nothing of it could be read.
+// Failed reports whether there is an error at a key or at an enclosing table or list, so that later checks do not
+// report the same key again. An error with the empty key means that the text could not be parsed at all.
 func (f *File) Failed(key string) bool {
-	return slices.ContainsFunc(f.faults, func(x Fault) bool {
+	return slices.ContainsFunc(f.errors, func(x Fault) bool {
 		rest, within := strings.CutPrefix(key, x.Key)
 		return within && (rest == "" || x.Key != "" && (rest[0] == '.' || rest[0] == '['))
 	})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Every fault of a file is told, each with its place.
-func TestFaults(t *testing.T) {
+// Every error of a file is reported with its position.
+func TestDecodeReportsEveryError(t *testing.T) {
 	text := `wait = 5
 room = "64 pounds"
 mode = "quick"
@@ -60,12 +60,12 @@
 `
 	var into sample
 	want := []string{"1:1 wait 5", "2:1 room pounds", "3:1 mode fast, slow", "4:1 n at least 1", "5:1 on true or false",
-		"6:1 lst unknown key", "7:1 list[1] no number", "8:23 table.part 0 to 1", "10:3 item[0].name missing",
+		"6:1 lst unknown key", "7:1 list[1] not a number", "8:23 table.part 0 to 1", "10:3 item[0].name missing",
 		"13:3 item[1].nme unknown key", "14:3 item[1].name no text", "15:3 item[2].name missing", "16:2 extra.name missing"}
 	faults, _ := Decode("a.toml", []byte(text), &into).Err().(Faults)
 	for i, f := range faults {
 		if i >= len(want) {
-			t.Errorf("not expected: %v", f)
+			t.Errorf("unexpected error: %v", f)
 			continue
 		}
 		place, rest, _ := strings.Cut(want[i], " ")
@@ -75,22 +75,22 @@
 		}
 	}
 	if len(faults) < len(want) {
-		t.Errorf("%d faults, want %d", len(faults), len(want))
+		t.Errorf("%d errors, want %d", len(faults), len(want))
 	}
 	list := "\nitem = [\n  { name = \"x\" },\n  { part = 0.1 },\n  3, ]\nextra = 3\ntable.name = \"t\"\nn = 1\n"
 	f := Decode("a.toml", []byte(list), &into)
 	for key, want := range map[string]bool{"item[1].name": true, "item[2].name": true, "extra.name": true, "item": false, "item[0].name": false,
 		"item[1].part": false, "ext": false, "": false} {
 		if got := f.Failed(key); got != want {
-			t.Errorf("%q: failed is %v", key, got)
+			t.Errorf("%q: Failed returned %v", key, got)
 		}
 	}
 	if at := f.Err().(Faults)[1]; at.Error() != "a.toml:4:3: item[1].name: missing" {
-		t.Errorf("of a list of tables: %v", at)
+		t.Errorf("error in an inline list of tables: %v", at)
 	}
 	f = Decode("a.toml", []byte("a = 1\nb = = 2\n"), &into)
 	if err := f.Err(); err == nil || !f.Failed("") || !strings.HasPrefix(err.Error(), "a.toml:2:") {
-		t.Errorf("syntax: %v", err)
+		t.Errorf("syntax error: %v", err)
 	}
 }
 
@@ -102,10 +102,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var into sample
 		if Decode("a", []byte(text), &into).Err() == nil && (into.Table.Name == "" && !strings.Contains(text, `""`) && !strings.Contains(text, "''")) {
-			t.Errorf("taken without its required key: %q", text)
+			t.Errorf("accepted without the required key: %q", text)
 		}
 		if into.Extra != nil && !strings.Contains(text, "extra") && !strings.Contains(text, `\`) {
-			t.Errorf("a table that is not there: %q", text)
+			t.Errorf("decoded an absent table: %q", text)
 		}
 	})
 }
@@ -117,12 +117,12 @@
 			t.Errorf("%q: %d, %v", text, got, err)
 		}
 		if again, err := ParseSize(got.String()); err != nil || again != got {
-			t.Errorf("%v written as %q", int64(got), got.String())
+			t.Errorf("%v formatted as %q", int64(got), got.String())
 		}
 	}
 	for _, text := range []string{"", "5", "-1B", "KiB", "9e300GiB", "NaNB"} {
 		if _, err := ParseSize(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// table fills a struct from a table.
-func (f *File) table(path string, values map[string]any, into reflect.Value) {
+// decodeTable sets the fields of a struct from a table.
+func (f *File) decodeTable(path string, values map[string]any, into reflect.Value) {
 	known := map[string]bool{}
 	names := []string{}
 	for _, field := range reflect.VisibleFields(into.Type()) {
@@ -21,17 +21,17 @@
 		}
 		known[name] = true
 		names = append(names, name)
-		key, to := join(path, name), into.FieldByIndex(field.Index)
+		key, target := join(path, name), into.FieldByIndex(field.Index)
 		v, present := values[name]
 		switch {
 		case present:
-			f.field(key, v, to, field.Tag)
+			f.decodeField(key, v, target, field.Tag)
 		case field.Tag.Get("required") == "true":
 			f.Fail(key, "missing")
-		case to.Kind() == reflect.Struct:
-			f.table(key, nil, to)
+		case target.Kind() == reflect.Struct:
+			f.decodeTable(key, nil, target)
 		case field.Tag.Get("default") != "":
-			f.field(key, defaultOf(field), to, field.Tag)
+			f.decodeField(key, defaultValue(field), target, field.Tag)
 		}
 	}
 	for name := range values {
@@ -41,21 +41,22 @@
 	}
 }
 
-// defaultOf turns a default tag into the value that TOML would give.
-func defaultOf(field reflect.StructField) any {
+// defaultValue returns the value of a default tag with the type that the TOML parser would return.
+func defaultValue(field reflect.StructField) any {
 	text := field.Tag.Get("default")
 	t := field.Type
 	if t.Kind() == reflect.Slice {
 		list := []any{}
 		for _, word := range strings.Fields(text) {
-			list = append(list, plainDefault(t.Elem(), word))
+			list = append(list, scalarDefault(t.Elem(), word))
 		}
 		return list
 	}
-	return plainDefault(t, text)
+	return scalarDefault(t, text)
 }
 
-func plainDefault(t reflect.Type, text string) any {
+// scalarDefault returns the value of a default tag, or of one word of it, for a type other than a slice.
+func scalarDefault(t reflect.Type, text string) any {
 	switch {
 	case t == reflect.TypeFor[time.Duration](), t == reflect.TypeFor[Size](), t.Kind() == reflect.String:
 		return text
@@ -69,106 +70,106 @@
 	return n
 }
 
-// field fills one value and checks it.
-func (f *File) field(key string, v any, to reflect.Value, tag reflect.StructTag) {
+// decodeField sets and validates one value.
+func (f *File) decodeField(key string, v any, target reflect.Value, tag reflect.StructTag) {
 	switch {
-	case to.Type() == reflect.TypeFor[time.Duration]():
+	case target.Type() == reflect.TypeFor[time.Duration]():
 		text, ok := v.(string)
 		d, err := time.ParseDuration(text)
 		if !ok || err != nil {
-			f.Fail(key, "%s is no duration: a text like \"250ms\" or \"1.5s\" is expected", show(v))
+			f.Fail(key, "%s is not a duration: a string such as \"250ms\" or \"1.5s\" is expected", formatValue(v))
 			return
 		}
-		to.SetInt(int64(d))
-		f.bounds(key, float64(d), tag, func(s string) float64 { d, _ := time.ParseDuration(s); return float64(d) }, d.String())
-	case to.Type() == reflect.TypeFor[Size]():
+		target.SetInt(int64(d))
+		f.checkRange(key, float64(d), tag, func(s string) float64 { d, _ := time.ParseDuration(s); return float64(d) }, d.String())
+	case target.Type() == reflect.TypeFor[Size]():
 		text, ok := v.(string)
 		s, err := ParseSize(text)
 		if !ok || err != nil {
-			f.Fail(key, "%s is no size: a text like \"64KiB\" is expected", show(v))
+			f.Fail(key, "%s is not a size: a string such as \"64KiB\" is expected", formatValue(v))
 			return
 		}
-		to.SetInt(int64(s))
-		f.bounds(key, float64(s), tag, func(s string) float64 { n, _ := ParseSize(s); return float64(n) }, s.String())
-	case to.Kind() == reflect.String:
+		target.SetInt(int64(s))
+		f.checkRange(key, float64(s), tag, func(s string) float64 { n, _ := ParseSize(s); return float64(n) }, s.String())
+	case target.Kind() == reflect.String:
 		s, ok := v.(string)
 		if !ok {
-			f.Fail(key, "%s is no text in quotes", show(v))
+			f.Fail(key, "%s is no text in quotes", formatValue(v))
 			return
 		}
-		to.SetString(s)
+		target.SetString(s)
 		if words := strings.Fields(tag.Get("oneof")); len(words) > 0 && !slices.Contains(words, s) {
 			f.Fail(key, "%q: one of %s is expected", s, strings.Join(words, ", "))
 		}
-	case to.Kind() == reflect.Bool:
+	case target.Kind() == reflect.Bool:
 		b, ok := v.(bool)
 		if !ok {
-			f.Fail(key, "%s: true or false is expected", show(v))
+			f.Fail(key, "%s: true or false is expected", formatValue(v))
 			return
 		}
-		to.SetBool(b)
-	case to.Kind() == reflect.Int:
+		target.SetBool(b)
+	case target.Kind() == reflect.Int:
 		n, ok := v.(int64)
 		if !ok {
-			f.Fail(key, "%s is no whole number", show(v))
+			f.Fail(key, "%s is not a whole number", formatValue(v))
 			return
 		}
-		to.SetInt(n)
-		f.bounds(key, float64(n), tag, number, strconv.FormatInt(n, 10))
-	case to.Kind() == reflect.Float64:
+		target.SetInt(n)
+		f.checkRange(key, float64(n), tag, parseNumber, strconv.FormatInt(n, 10))
+	case target.Kind() == reflect.Float64:
 		x, ok := v.(float64)
 		if n, whole := v.(int64); whole {
 			x, ok = float64(n), true
 		}
 		if !ok || math.IsNaN(x) || math.IsInf(x, 0) {
-			f.Fail(key, "%s is no number", show(v))
+			f.Fail(key, "%s is not a number", formatValue(v))
 			return
 		}
-		to.SetFloat(x)
-		f.bounds(key, x, tag, number, strconv.FormatFloat(x, 'g', -1, 64))
-	case to.Kind() == reflect.Struct:
+		target.SetFloat(x)
+		f.checkRange(key, x, tag, parseNumber, strconv.FormatFloat(x, 'g', -1, 64))
+	case target.Kind() == reflect.Struct:
 		m, ok := v.(map[string]any)
 		if !ok {
-			f.Fail(key, "%s: a table is expected", show(v))
+			f.Fail(key, "%s: a table is expected", formatValue(v))
 			return
 		}
-		f.table(key, m, to)
-	case to.Kind() == reflect.Pointer:
-		to.Set(reflect.New(to.Type().Elem()))
-		f.field(key, v, to.Elem(), tag)
-	case to.Kind() == reflect.Slice:
+		f.decodeTable(key, m, target)
+	case target.Kind() == reflect.Pointer:
+		target.Set(reflect.New(target.Type().Elem()))
+		f.decodeField(key, v, target.Elem(), tag)
+	case target.Kind() == reflect.Slice:
 		list, ok := v.([]any)
 		if !ok {
-			f.Fail(key, "%s: a list is expected", show(v))
+			f.Fail(key, "%s: a list is expected", formatValue(v))
 			return
 		}
-		out := reflect.MakeSlice(to.Type(), len(list), len(list))
+		out := reflect.MakeSlice(target.Type(), len(list), len(list))
 		for i, item := range list {
-			f.field(fmt.Sprintf("%s[%d]", key, i), item, out.Index(i), tag)
+			f.decodeField(fmt.Sprintf("%s[%d]", key, i), item, out.Index(i), tag)
 		}
-		to.Set(out)
+		target.Set(out)
 	default:
-		panic("config: field of type " + to.Type().String())
+		panic("config: unsupported field type " + target.Type().String())
 	}
 }
 
-func number(s string) float64 { x, _ := strconv.ParseFloat(s, 64); return x }
+func parseNumber(s string) float64 { x, _ := strconv.ParseFloat(s, 64); return x }
 
-func show(v any) string {
+func formatValue(v any) string {
 	if s, ok := v.(string); ok {
 		return strconv.Quote(s)
 	}
 	return fmt.Sprint(v)
 }
 
-// bounds checks a value against the tag's range.
-func (f *File) bounds(key string, v float64, tag reflect.StructTag, parse func(string) float64, shown string) {
-	span := tag.Get("range")
-	least, most, ok := strings.Cut(span, "..")
+// checkRange checks a value against the range tag.
+func (f *File) checkRange(key string, v float64, tag reflect.StructTag, parse func(string) float64, displayed string) {
+	rangeTag := tag.Get("range")
+	lower, upper, ok := strings.Cut(rangeTag, "..")
 	if !ok {
 		return
 	}
-	if least != "" && v < parse(least) || most != "" && v > parse(most) {
-		f.Fail(key, "%s is out of range; %s is expected", shown, Range(span))
+	if lower != "" && v < parse(lower) || upper != "" && v > parse(upper) {
+		f.Fail(key, "%s is out of range; %s is expected", displayed, DescribeRange(rangeTag))
 	}
 }
--- a/internal/config/lines_test.go
+++ b/internal/config/lines_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// A place found by the index is the one that counting from the start of the text finds.
-func TestLines(t *testing.T) {
+// A position from the index must equal the one found by counting from the start of the text.
+func TestLineIndexPosition(t *testing.T) {
 	for _, text := range []string{"", "\n", "a", "a\nb", "a\n\nbc\n", "\r\n\tx\n" + "long line without an end"} {
-		l := newLines([]byte(text))
+		l := newLineIndex([]byte(text))
 		for at := -1; at <= len(text)+1; at++ {
 			offset := max(0, min(at, len(text)))
 			before := []byte(text)[:offset]
--- a/internal/config/reference.go
+++ b/internal/config/reference.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Range writes a range tag for people.
-func Range(span string) string {
-	least, most, _ := strings.Cut(span, "..")
+// DescribeRange returns a range tag in words.
+func DescribeRange(rangeTag string) string {
+	lower, upper, _ := strings.Cut(rangeTag, "..")
 	switch {
-	case least == "":
-		return "at most " + most
-	case most == "":
-		return "at least " + least
+	case lower == "":
+		return "at most " + upper
+	case upper == "":
+		return "at least " + lower
 	}
-	return least + " to " + most
+	return lower + " to " + upper
 }
 
-// Key describes one key of a struct, for the reference page and the test that holds it against the code.
+// Key describes a configuration key for the reference page and the test that compares the page with the code.
 type Key struct {
 	Path, Type, Default, Range, Doc string
 	Required                        bool
 }
 
-// Keys lists the keys of a struct type, tables first by their own line; [[name]] marks a list of tables.
-func Keys(of any) []Key { return keys("", reflect.TypeOf(of)) }
+// Keys lists the keys of a struct in the order of its fields. A table's own entry precedes those of its keys.
+func Keys(config any) []Key { return keys("", reflect.TypeOf(config)) }
 
 func keys(prefix string, t reflect.Type) (out []Key) {
 	for _, field := range reflect.VisibleFields(t) {
@@ -35,66 +35,66 @@
 			continue
 		}
 		path := join(prefix, name)
-		ft, list := field.Type, false
-		if ft.Kind() == reflect.Slice {
-			ft, list = ft.Elem(), true
+		fieldType, isList := field.Type, false
+		if fieldType.Kind() == reflect.Slice {
+			fieldType, isList = fieldType.Elem(), true
 		}
-		optional := ft.Kind() == reflect.Pointer
+		optional := fieldType.Kind() == reflect.Pointer
 		if optional {
-			ft = ft.Elem()
+			fieldType = fieldType.Elem()
 		}
 		k := Key{Path: path, Default: field.Tag.Get("default"), Doc: field.Tag.Get("doc"),
 			Required: field.Tag.Get("required") == "true", Range: field.Tag.Get("range")}
 		if words := field.Tag.Get("oneof"); words != "" {
 			k.Range = strings.Join(strings.Fields(words), ", ")
 		} else if k.Range != "" {
-			k.Range = Range(k.Range)
+			k.Range = DescribeRange(k.Range)
 		}
 		switch {
-		case ft == reflect.TypeFor[time.Duration]():
+		case fieldType == reflect.TypeFor[time.Duration]():
 			k.Type = "duration"
-		case ft == reflect.TypeFor[Size]():
+		case fieldType == reflect.TypeFor[Size]():
 			k.Type = "size"
-		case ft.Kind() == reflect.Struct:
+		case fieldType.Kind() == reflect.Struct:
 			k.Type = "table"
-		case ft.Kind() == reflect.Int:
+		case fieldType.Kind() == reflect.Int:
 			k.Type = "whole number"
-		case ft.Kind() == reflect.Float64:
+		case fieldType.Kind() == reflect.Float64:
 			k.Type = "number"
-		case ft.Kind() == reflect.Bool:
+		case fieldType.Kind() == reflect.Bool:
 			k.Type = "true or false"
 		default:
 			k.Type = "text"
 		}
-		if list {
+		if isList {
 			k.Type = "list of " + k.Type
 		}
 		if optional {
 			k.Default = "none"
 		}
 		out = append(out, k)
-		if ft.Kind() == reflect.Struct {
-			out = append(out, keys(path, ft)...)
+		if fieldType.Kind() == reflect.Struct {
+			out = append(out, keys(path, fieldType)...)
 		}
 	}
 	return out
 }
 
-// Reference writes keys as the table of the reference page. Tables of a list are written [[name]].
+// Reference formats keys as the Markdown table of the reference page.
 func Reference(keys []Key) string {
 	var out strings.Builder
 	out.WriteString("| key | type | default | range | meaning |\n| --- | --- | --- | --- | --- |\n")
 	for _, k := range keys {
-		def := k.Default
+		defaultText := k.Default
 		switch {
 		case k.Required:
-			def = "required"
-		case def == "" && k.Type == "table":
-			def = ""
-		case def == "":
-			def = "empty"
+			defaultText = "required"
+		case defaultText == "" && k.Type == "table":
+			defaultText = ""
+		case defaultText == "":
+			defaultText = "empty"
 		}
-		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s |\n", k.Path, k.Type, def, k.Range, k.Doc)
+		fmt.Fprintf(&out, "| `%s` | %s | %s | %s | %s |\n", k.Path, k.Type, defaultText, k.Range, k.Doc)
 	}
 	return out.String()
 }
--- a/internal/config/size.go
+++ b/internal/config/size.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Size is a number of bytes, written with a unit: B, KB, MB, GB, KiB, MiB or GiB.
+// Size is a number of bytes. Its text form has a unit: B, KB, MB, GB, KiB, MiB or GiB.
 type Size int64
 
 var sizeUnits = []struct {
@@ -15,7 +15,7 @@
 	bytes float64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"KB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1}}
 
-// ParseSize reads a size with its unit.
+// ParseSize parses a size with a unit.
 func ParseSize(s string) (Size, error) {
 	for _, u := range sizeUnits {
 		if number, ok := strings.CutSuffix(s, u.name); ok {
@@ -26,10 +26,10 @@
 			return Size(f * u.bytes), nil
 		}
 	}
-	return 0, fmt.Errorf("%q is no size: a number and one of B, KB, MB, GB, KiB, MiB, GiB is expected", s)
+	return 0, fmt.Errorf("%q is not a size: a number and one of B, KB, MB, GB, KiB, MiB, GiB is expected", s)
 }
 
-// String writes a size with the largest unit that leaves a whole number.
+// String formats a size in the largest binary unit that gives a whole number.
 func (s Size) String() string {
 	for _, u := range []int{2, 1, 0} {
 		if n := int64(sizeUnits[u].bytes); s != 0 && int64(s)%n == 0 {
