--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -170,6 +170,6 @@
 		return
 	}
 	if lower != "" && v < parse(lower) || upper != "" && v > parse(upper) {
-		f.Fail(key, "%s is out of range; %s is expected", displayed, DescribeRange(rangeTag))
+		f.Fail(key, "%s is out of range; %s is expected", displayed, Range(rangeTag))
 	}
 }
--- a/internal/config/reference.go
+++ b/internal/config/reference.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// DescribeRange returns a range tag in words.
-func DescribeRange(rangeTag string) string {
+// Range returns a range tag in words.
+func Range(rangeTag string) string {
 	lower, upper, _ := strings.Cut(rangeTag, "..")
 	switch {
 	case lower == "":
@@ -48,7 +48,7 @@
 		if words := field.Tag.Get("oneof"); words != "" {
 			k.Range = strings.Join(strings.Fields(words), ", ")
 		} else if k.Range != "" {
-			k.Range = DescribeRange(k.Range)
+			k.Range = Range(k.Range)
 		}
 		switch {
 		case fieldType == reflect.TypeFor[time.Duration]():
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -41,7 +41,7 @@
 	default:
 		return nil, fmt.Errorf("unknown log format %q: expected text or json", o.Format)
 	}
-	return slog.New(&rateLimitedHandler{Handler: inner, limiters: &eventLimiters{byEvent: map[string]*eventLimiter{}}}), nil
+	return slog.New(&rateLimitedHandler{Handler: inner, limiters: &limiters{byEvent: map[string]*eventLimiter{}}}), nil
 }
 
 // Discard returns a logger that writes nothing.
@@ -78,11 +78,11 @@
 // rateLimitedHandler limits the rate of records per event.
 type rateLimitedHandler struct {
 	slog.Handler
-	limiters *eventLimiters
+	limiters *limiters
 }
 
-// eventLimiters holds the limiters by event.
-type eventLimiters struct {
+// limiters holds the rate limiters by event.
+type limiters struct {
 	mu      sync.Mutex
 	byEvent map[string]*eventLimiter
 }
@@ -94,7 +94,7 @@
 }
 
 // allow reports whether a record of an event may be written now, and how many were suppressed before it.
-func (l *eventLimiters) allow(event string, now time.Time) (suppressed int, ok bool) {
+func (l *limiters) allow(event string, now time.Time) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	limiter := l.byEvent[event]
