--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -11,23 +11,23 @@
 	"burlpass/internal/transport"
 )
 
-// Bounds of what is still read of a long message after its call's final answer.
+// Limits on reading the rest of a request that was answered before its end.
 const (
-	absorbStep = time.Second
-	absorbTime = 30 * time.Second
+	discardReadTimeout = time.Second
+	discardTimeout     = 30 * time.Second
 )
 
-// absorb reads on what the client still sends of a message that has been answered before its end: closing would reset the
-// connection, and the reset can overtake the answer.
-func (c *client) absorb() {
+// discardRequest reads and drops the rest of a request that was answered before its end. Closing the connection instead
+// would reset it, and the reset can overtake the response.
+func (c *client) discardRequest() {
 	if c.CloseWrite() != nil {
 		return
 	}
-	c.broken = true // its end is out already
-	end := time.Now().Add(absorbTime)
+	c.broken = true // the write side is closed already
+	end := time.Now().Add(discardTimeout)
 	for n := 0; n < MaxBody && time.Now().Before(end) && c.Closing.Err() == nil; {
-		c.Receive(transport.Stage{Until: time.Now().Add(absorbStep), AtRest: true})
-		m, err := c.r.Discard(maxHead)
+		c.Receive(transport.Stage{Until: time.Now().Add(discardReadTimeout), AtRest: true})
+		m, err := c.r.Discard(maxHeadBytes)
 		if n += m; err != nil {
 			return
 		}
@@ -39,55 +39,56 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// reject answers what is no call. After a framing error nobody knows where the next message would start.
+// reject responds to a request that is not a valid call. After a framing error the start of the next message is unknown,
+// so the connection is not reused.
 func (c *client) reject(err error) {
-	var f *failure
+	var f *httpError
 	switch {
 	case errors.As(err, &f):
 	case errors.Is(err, ErrMalformed):
-		f = &failure{400, err.Error()}
+		f = &httpError{400, err.Error()}
 	case errors.Is(err, ErrHeadTooBig):
-		f = &failure{431, err.Error()}
+		f = &httpError{431, err.Error()}
 	case errors.Is(err, ErrBodyTooBig):
-		f = &failure{413, err.Error()}
+		f = &httpError{413, err.Error()}
 	case isTimeout(err):
-		f = &failure{408, "call not whole in time"}
-	default: // the client broke off
+		f = &httpError{408, "call not whole in time"}
+	default: // the client closed or reset the connection
 		c.closing, c.broken = true, true
 		return
 	}
-	if held, ok := c.rejected.due(time.Now()); ok {
-		c.Log.Warn("call_rejected", "status", f.status, "reason", f.text, "stage", c.stage, "id", string(c.head.get(headerTrace)),
-			"since_last_byte", time.Since(c.LastByte()).Round(time.Millisecond), "age", time.Since(c.Begun()).Round(time.Millisecond), "more", held)
+	if suppressed, ok := c.rejectionLog.allow(time.Now()); ok {
+		c.Log.Warn("call_rejected", "status", f.status, "reason", f.text, "stage", c.readStage, "id", string(c.head.get(headerTrace)),
+			"since_last_byte", time.Since(c.LastByte()).Round(time.Millisecond), "age", time.Since(c.Begun()).Round(time.Millisecond), "more", suppressed)
 	}
 	c.closing = c.closing || c.Tight()
-	c.write(f.status, nil, "", []byte(f.text+"\n"))
+	c.writeResponse(f.status, nil, "", []byte(f.text+"\n"))
 }
 
-// Bounds of what is still read of a client after the end has been sent to it.
+// Limits on reading from a client after the write side of its connection has been closed.
 const (
-	lingerTime  = 500 * time.Millisecond
-	lingerShort = 50 * time.Millisecond // where the connection is one of the few spare ones
-	lingerBytes = 256 << 10
+	lingerTimeout      = 500 * time.Millisecond
+	shortLingerTimeout = 50 * time.Millisecond // used when another connection needs the descriptor
+	maxLingerBytes     = 256 << 10
 )
 
-// finish ends a connection in order: it ends the sending, so that the client sees an end behind all answers, then reads on
-// for a while until the client has closed too. Closing over unread bytes would reset the connection, and the reset can
-// overtake an answer. What is read here is dropped. Meanwhile the connection may be closed to make room for another.
-func (c *client) finish() {
-	if c.Closing.Err() != nil { // the process ends: who sends on a connection that is half open finds nobody to ask again
+// closeGracefully closes the write side, so that the client sees the end of the stream after all responses, and then reads
+// and drops input for a while until the client has closed too. Closing with unread input would reset the connection, and
+// the reset can overtake a response. Meanwhile the connection may be closed to make room for another one.
+func (c *client) closeGracefully() {
+	if c.Closing.Err() != nil { // the process exits: a client that sends on a half-closed connection has nobody left to retry with
 		return
 	}
 	if c.broken || !c.Enter(transport.Lingering) || c.CloseWrite() != nil {
 		return
 	}
-	wait := lingerTime
+	wait := lingerTimeout
 	if c.Pressed() {
-		wait = lingerShort
+		wait = shortLingerTimeout
 	}
 	c.Receive(transport.Stage{Until: time.Now().Add(wait), AtRest: true})
-	piece := make([]byte, dropPiece)
-	for n := 0; n < lingerBytes; {
+	piece := make([]byte, discardBufferSize)
+	for n := 0; n < maxLingerBytes; {
 		m, err := c.Client.Read(piece)
 		if n += m; err != nil {
 			return
@@ -95,49 +96,49 @@
 	}
 }
 
-func (c *client) health() {
-	if c.Handler.Healthy() && !c.steering() {
-		c.write(200, nil, "", []byte("ok"))
+func (c *client) answerHealthCheck() {
+	if c.Handler.Healthy() && !c.isDraining() {
+		c.writeResponse(200, nil, "", []byte("ok"))
 	} else {
-		c.write(503, nil, "", []byte("not able to serve"))
+		c.writeResponse(503, nil, "", []byte("not able to serve"))
 	}
 }
 
-// steering tells that clients are to go elsewhere: the sidecar ends, or the operators have drained it.
-func (s *Server) steering() bool { return s.Draining.Err() != nil || s.Held != nil && s.Held.Load() }
+// isDraining reports whether clients should go elsewhere: the sidecar is shutting down, or an operator has drained it.
+func (s *Server) isDraining() bool { return s.Draining.Err() != nil || s.Held != nil && s.Held.Load() }
 
-// answer writes a call's one final answer.
+// answer writes the final response of a call.
 func (c *client) answer(a Answer) {
-	if c.steering() || c.Tight() {
+	if c.isDraining() || c.Tight() {
 		c.closing = true
 	}
-	if c.send(&a) && a.Written != nil {
+	if c.writeAnswer(&a) && a.Written != nil {
 		a.Written()
 	}
 }
 
-// send tells whether all of it was written.
-func (c *client) send(a *Answer) bool {
+// writeAnswer reports whether the whole response was written.
+func (c *client) writeAnswer(a *Answer) bool {
 	switch a.Verdict {
 	case Served:
 		if a.Reply.Rest != nil {
-			return c.relay(a.Reply, a.Header, a.End)
+			return c.relayReply(a.Reply, a.Header, a.End)
 		}
-		return c.write(200, a.Reply.Header, a.Header, a.Reply.Body)
+		return c.writeResponse(200, a.Reply.Header, a.Header, a.Reply.Body)
 	case Refused:
-		return c.write(503, nil, a.advice()+a.Header, nil)
+		return c.writeResponse(503, nil, a.retryAfterHeader()+a.Header, nil)
 	case Limited:
-		return c.write(429, nil, a.advice()+a.Header, nil)
+		return c.writeResponse(429, nil, a.retryAfterHeader()+a.Header, nil)
 	case Ended:
-		return c.write(410, nil, a.Header, nil)
+		return c.writeResponse(410, nil, a.Header, nil)
 	case Expired:
-		return c.write(504, nil, a.Header, nil)
+		return c.writeResponse(504, nil, a.Header, nil)
 	}
-	return c.write(502, nil, a.Header, nil)
+	return c.writeResponse(502, nil, a.Header, nil)
 }
 
-// advice is the header line that says how long to stay away.
-func (a *Answer) advice() string {
+// retryAfterHeader returns the Retry-After header line, or "" if the answer gives no advice.
+func (a *Answer) retryAfterHeader() string {
 	if a.Wait <= 0 {
 		return ""
 	}
@@ -151,28 +152,28 @@
 	503: "HTTP/1.1 503 Service Unavailable\r\n", 504: "HTTP/1.1 504 Gateway Timeout\r\n",
 }
 
-// write tells whether all of it was written.
-func (c *client) write(status int, header []byte, extra string, body []byte) bool {
+// writeResponse writes a response whose body is complete, and reports whether all of it was written.
+func (c *client) writeResponse(status int, header []byte, extra string, body []byte) bool {
 	tail := extra + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	if c.closing {
 		tail += "Connection: close\r\n"
 	}
 	out := net.Buffers{[]byte(statusLines[status]), header, []byte(tail + "\r\n"), body}
-	err := c.Send(out, writeTime)
+	err := c.Send(out, writeTimeout)
 	c.broken = c.broken || err != nil
 	c.closing = c.closing || c.broken
 	return err == nil
 }
 
-// relay passes an answer on whose rest is still to come. It ends the connection where the worker breaks off, so that the
-// client can tell, and the worker's where the client does. A worker that has stopped is waited for up to the client's end, or for relayStall where that is later. It tells
-// whether all of it was written.
-func (c *client) relay(reply *Reply, extra string, end time.Time) bool {
+// relayReply forwards a reply whose body is still arriving, and reports whether all of it was written. If the worker breaks
+// off, the client's connection is closed, so that the client can tell; if the client breaks off, the worker's is. A stalled
+// worker is waited for until the client's deadline, or for relayStallTimeout if that ends later.
+func (c *client) relayReply(reply *Reply, extra string, end time.Time) bool {
 	framing, chunked := "", false
 	switch {
 	case reply.Length >= 0:
 		framing = "Content-Length: " + strconv.FormatInt(reply.Length, 10) + "\r\n"
-	case bytes.Equal(c.head.start[2], []byte("HTTP/1.1")):
+	case bytes.Equal(c.head.startLine[2], []byte("HTTP/1.1")):
 		framing, chunked = "Transfer-Encoding: chunked\r\n", true
 	default:
 		c.closing = true
@@ -182,30 +183,30 @@
 	}
 	out := net.Buffers{[]byte(statusLines[200]), reply.Header, []byte(extra + framing + "\r\n")}
 	piece := reply.Body
-	buf := make([]byte, relaySize)
+	buf := make([]byte, relayBufferSize)
 	for {
 		switch {
 		case len(piece) > 0 && chunked:
-			out = append(out, chunk(piece)...)
+			out = append(out, encodeChunk(piece)...)
 		case len(piece) > 0:
 			out = append(out, piece)
 		}
-		if chunked && reply.rest.over {
+		if chunked && reply.rest.done {
 			out = append(out, []byte("0\r\n\r\n"))
 		}
-		if err := c.Send(out, relayTime); err != nil || reply.rest.over {
+		if err := c.Send(out, relayWriteTimeout); err != nil || reply.rest.done {
 			c.broken = c.broken || err != nil
 			c.closing = c.closing || c.broken
 			reply.Rest.Close(err == nil && reply.reuse)
 			return err == nil
 		}
-		reply.Rest.ReadBy(c.endBefore(transport.Latest(end, time.Now().Add(relayStall))))
+		reply.Rest.ReadBy(c.capAtConnectionEnd(transport.Latest(end, time.Now().Add(relayStallTimeout))))
 		n, err := reply.rest.Read(buf)
 		if err != nil && err != io.EOF {
 			c.closing, c.broken = true, true
 			reply.Rest.Close(false)
 			if !chunked && reply.Length < 0 {
-				c.Reset() // its end would else look like the answer's
+				c.Reset() // a regular close would look like the end of the body
 			}
 			return false
 		}
@@ -213,8 +214,8 @@
 	}
 }
 
-// endBefore is a time, or the connection's end where that is earlier.
-func (c *client) endBefore(t time.Time) time.Time {
+// capAtConnectionEnd returns t, or the connection's end if that is earlier.
+func (c *client) capAtConnectionEnd(t time.Time) time.Time {
 	if end := c.End(); !end.IsZero() && end.Before(t) {
 		return end
 	}
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -1,6 +1,6 @@
-// Package protocol turns bytes into calls, answers, load reports and the registry's lists, and back. The
-// types in this file are protocol-neutral: routing sees only them, and another protocol that makes Calls
-// and Messages can be put before the same decisions.
+// Package protocol converts between bytes and calls, answers, load reports and the registry's lists. A call is a client's
+// request, a worker is a backend, and the registry is the service discovery. The types in this file are independent of the
+// protocol: routing sees only them, so another protocol that produces Calls and Messages can use the same routing.
 package protocol
 
 import (
@@ -9,82 +9,83 @@
 	"burlpass/internal/transport"
 )
 
-// Call is one request of a client, read whole, or up to its window where Upload is set.
+// Call is one request of a client. Its message is complete, or, if Upload is set, read up to the window that is kept for
+// resending.
 type Call struct {
-	ID      []byte        // the client's, for the log; valid until the call is over
-	Class   int           // position in the settings
-	Tenant  int           // position in the settings, 0 where there are none
-	Budget  time.Duration // until the client gives this try up, less a margin for the way back
-	Repeat  bool          // marked by the client as a further try
+	ID      []byte        // the client's trace ID, for the log; valid until the call ends
+	Class   int           // index in the settings
+	Tenant  int           // index in the settings, 0 if there are none
+	Budget  time.Duration // until the client gives up on this request, less a margin for the response's way back
+	Repeat  bool          // marked by the client as a retry
 	Write   bool
 	Message Message
-	Left    <-chan struct{} // closed when the client has left
-	Present func() bool     // looks whether the client is there; after a false Left is closed, or the call over; nil: nobody can tell
-	Upload  Upload          // the rest of a long message; nil where that is whole
-	Origin  *Origin         // what rules go by; nil where nobody asks
+	Left    <-chan struct{} // closed when the client has disconnected
+	Present func() bool     // checks whether the client is still connected; after a false result Left is closed or the call has ended; nil if that is unknown
+	Upload  Upload          // the rest of a long message; nil if the message is complete
+	Origin  *Origin         // what rules match on; nil if no rules are in use
 }
 
-// Upload is what is still to come of a call's message.
+// Upload is the part of a call's message that is still to come.
 type Upload interface {
-	Whole() <-chan struct{} // closed when its last byte has been read
-	End() time.Time         // when the client gives up if the rest has come unseen; moves on while it still sends
-	Begun() bool            // some of it has been read: a further attempt could not send it again
+	Whole() <-chan struct{} // closed when the last byte has been read
+	End() time.Time         // when the client gives up if the rest has arrived unread; moves on while the client still sends
+	Begun() bool            // part of it has been read, so that another attempt could not send it again
 }
 
-// Message is what an attempt carries to a worker.
+// Message is what an attempt sends to a worker.
 type Message interface {
 	// Encode returns the message for one attempt, which will be waited for no longer than remaining. It is called
-	// when the message is about to be written, on any goroutine, and not once the attempt has ended. The slices are
+	// right before the message is written, on any goroutine, and never after the attempt has ended. The slices are
 	// used until the attempt ends.
 	Encode(worker string, remaining time.Duration) [][]byte
-	// Rest returns what writes the rest of the message after that, nil where Encode gives all. It can be called once for
-	// each attempt; what it returns works for one of them alone.
+	// Rest returns a function that writes the rest of the message, or nil if Encode returns all of it. It may be
+	// called once for each attempt; the function it returns works for only one of them.
 	Rest() func(transport.Write) error
 }
 
-// Verdict is what became of a call.
+// Verdict is the outcome of a call.
 type Verdict uint8
 
-// The verdicts. Refused says that trying again is harmless, and so does Limited; Failed promises nothing.
+// The verdicts. After Refused and Limited a retry is safe; after Failed the call may have run.
 const (
 	Failed Verdict = iota
 	Served
 	Refused
-	Expired // failed because the time ran out
-	Limited // a rule refuses it: 429, nothing of it has gone out
-	Ended   // what it asks for has been ended: 410, nothing of it has gone out
+	Expired // failed because the deadline passed
+	Limited // refused by a rule with 429; no part of it was sent to a worker
+	Ended   // what the call asks for has been discontinued: 410; no part of it was sent to a worker
 )
 
-// Answer is the one final answer of a call.
+// Answer is the single final answer to a call.
 type Answer struct {
 	Verdict Verdict
-	Wait    time.Duration // with Refused and Limited: how long to stay away, 0 for no advice
+	Wait    time.Duration // with Refused and Limited: how long the client should stay away, 0 for no advice
 	Reply   *Reply        // with Served
 	End     time.Time     // with Served: when the client gives up
-	Header  string        // further header lines, each with its line's end; written as they are
-	Written func()        // called where all of it has been written to the client, on the goroutine that has; nil: nobody asks
+	Header  string        // additional header lines with their line ends, written as they are
+	Written func()        // called after the whole answer has been written to the client, on the goroutine that wrote it; may be nil
 }
 
-// Kind is what a worker's reply says of the attempt.
+// Kind is what a worker's reply says about the attempt.
 type Kind uint8
 
 // The kinds of reply.
 const (
 	ReplyServed Kind = iota
-	ReplyError       // it may have run
-	ReplyFull        // it never ran
+	ReplyError       // the call may have run
+	ReplyFull        // the call never ran
 )
 
-// Reply is a worker's answer, whole, or its beginning where its attempt's Result has a Rest. Header is in the form of
-// the protocol that read it.
+// Reply is a worker's reply. It is complete, or only its beginning if the attempt's Result has a Rest. Header is in the
+// format of the protocol that read it.
 type Reply struct {
 	Kind   Kind
 	Header []byte
 	Body   []byte
-	Load   []float32 // the load report, where one came
+	Load   []float32 // the load report, if there was one
 
-	Length int64           // with a Rest: of the whole body, -1 where that is not known
-	Rest   *transport.Rest // where it comes from, set by whoever chooses this answer
-	rest   framed          // its framing
-	reuse  bool            // its connection may be used again after it
+	Length int64           // with a Rest: the length of the whole body, -1 if unknown
+	Rest   *transport.Rest // the source of the remaining body, set by the caller that chooses this reply
+	rest   bodyReader      // decodes the remaining body
+	reuse  bool            // the connection may be reused afterwards
 }
--- a/internal/protocol/endless_test.go
+++ b/internal/protocol/endless_test.go
@@ -10,72 +10,72 @@
 	"testing"
 )
 
-// endless gives a text and then another one again and again.
-type endless struct {
-	begin *strings.Reader
-	again string
-	at    int
+// endlessReader returns a prefix and then the same text over and over.
+type endlessReader struct {
+	prefix   *strings.Reader
+	repeated string
+	offset   int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	if e.begin.Len() > 0 {
-		return e.begin.Read(p)
+func (e *endlessReader) Read(p []byte) (int, error) {
+	if e.prefix.Len() > 0 {
+		return e.prefix.Read(p)
 	}
-	n := copy(p, e.again[e.at:])
-	e.at = (e.at + n) % len(e.again)
+	n := copy(p, e.repeated[e.offset:])
+	e.offset = (e.offset + n) % len(e.repeated)
 	return n, nil
 }
 
-// An answer that never ends is found out after a bounded number of bytes, of whatever part it is that has no end, also
-// where its beginning has been passed on already.
-func TestEndlessAnswers(t *testing.T) {
+// A reply that never ends must be detected after a bounded number of bytes, whichever part of it has no end, and also when
+// its beginning has already been forwarded.
+func TestUnboundedReplies(t *testing.T) {
 	const chunked, closing = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	for name, test := range map[string]struct{ begin, again string }{
-		"status line":             {"HTTP/1.1 200 ", "x"},
-		"head":                    {"HTTP/1.1 200 OK\r\n", "A: b\r\n"},
-		"interim responses":       {"", "HTTP/1.1 103 Early Hints\r\n\r\n"},
-		"chunk extension":         {chunked + "1;", "x"},
-		"chunk size":              {chunked, "0"},
-		"trailers":                {chunked + "1\r\na\r\n0\r\n", "T: x\r\n"},
-		"chunks":                  {chunked, "1000\r\n" + strings.Repeat("a", 0x1000) + "\r\n"},
-		"up to the end":           {closing, strings.Repeat("x", 0x1000)},
-		"a length beyond the end": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "x"},
-		"an error's chunks":       {strings.Replace(chunked, "200", "500", 1), "1\r\na\r\n"},
+	for name, test := range map[string]struct{ prefix, repeated string }{
+		"status line":                {"HTTP/1.1 200 ", "x"},
+		"head":                       {"HTTP/1.1 200 OK\r\n", "A: b\r\n"},
+		"interim responses":          {"", "HTTP/1.1 103 Early Hints\r\n\r\n"},
+		"chunk extension":            {chunked + "1;", "x"},
+		"chunk size":                 {chunked, "0"},
+		"trailers":                   {chunked + "1\r\na\r\n0\r\n", "T: x\r\n"},
+		"chunks":                     {chunked, "1000\r\n" + strings.Repeat("a", 0x1000) + "\r\n"},
+		"up to the connection's end": {closing, strings.Repeat("x", 0x1000)},
+		"a length beyond the end":    {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "x"},
+		"an error's chunks":          {strings.Replace(chunked, "200", "500", 1), "1\r\na\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var reply Reply
-			r := bufio.NewReaderSize(&endless{begin: strings.NewReader(test.begin), again: test.again}, maxHead)
+			r := bufio.NewReaderSize(&endlessReader{prefix: strings.NewReader(test.prefix), repeated: test.repeated}, maxHeadBytes)
 			reuse, err := readReply(r, nil, &reply)
-			passed, buf := 0, make([]byte, relaySize)
-			for err == nil && !reply.rest.over {
+			forwarded, buf := 0, make([]byte, relayBufferSize)
+			for err == nil && !reply.rest.done {
 				var n int
 				n, err = reply.rest.Read(buf)
-				passed += n
+				forwarded += n
 			}
 			if reply.Kind == ReplyError && err == nil && !reuse {
-				return // an error's body is nobody's; its connection ends
+				return // the body of an error is dropped and its connection closed
 			}
-			if !IsMalformed(err) || passed > MaxBody {
-				t.Errorf("%v after %d bytes, reuse %v", err, passed, reuse)
+			if !IsMalformed(err) || forwarded > MaxBody {
+				t.Errorf("%v after %d bytes, reuse %v", err, forwarded, reuse)
 			}
 		})
 	}
 }
 
-// Pieces of a byte count like any others.
-func TestEndlessPieces(t *testing.T) {
+// Chunks of a single byte count towards the body limit like any others.
+func TestUnboundedTinyChunks(t *testing.T) {
 	const most = 1000
-	r := bufio.NewReader(&endless{begin: strings.NewReader(""), again: "1\r\na\r\n"})
-	body := (&head{chunked: true}).body(r, true, most)
-	if b, err := body.upTo(nil, maxHeld); err != ErrBodyTooBig || len(b) != most {
+	r := bufio.NewReader(&endlessReader{prefix: strings.NewReader(""), repeated: "1\r\na\r\n"})
+	body := (&head{chunked: true}).newBodyReader(r, true, most)
+	if b, err := body.readUpTo(nil, maxBufferedBody); err != ErrBodyTooBig || len(b) != most {
 		t.Errorf("%v after %d bytes", err, len(b))
 	}
 }
 
-// A reset is no end: an answer without a length that is broken off by one is not whole, and is never served.
-func TestResetIsNoEnd(t *testing.T) {
-	for name, length := range map[string]int{"short": 10, "passed on": 3 * maxHeld} {
+// A reply without a length that is cut off by a connection reset is incomplete and must never be served.
+func TestResetIsNotEndOfBody(t *testing.T) {
+	for name, length := range map[string]int{"short": 10, "relayed": 3 * maxBufferedBody} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -100,13 +100,13 @@
 				close(sent)
 			}()
 			var reply Reply
-			r := bufio.NewReaderSize(&resetAfter{c, len(text), func() {
+			r := bufio.NewReaderSize(&resettingConn{c, len(text), func() {
 				<-sent
 				peer.(*net.TCPConn).SetLinger(0)
 				peer.Close()
-			}}, maxHead)
+			}}, maxHeadBytes)
 			_, err = readReply(r, nil, &reply)
-			for buf := make([]byte, relaySize); err == nil && !reply.rest.over; {
+			for buf := make([]byte, relayBufferSize); err == nil && !reply.rest.done; {
 				_, err = reply.rest.Read(buf)
 			}
 			if !errors.Is(err, syscall.ECONNRESET) {
@@ -116,21 +116,21 @@
 	}
 }
 
-// resetAfter calls reset once all that the other side has sent has been read.
-type resetAfter struct {
+// resettingConn calls reset once everything that the other side has sent has been read.
+type resettingConn struct {
 	net.Conn
-	left  int
-	reset func()
+	remaining int
+	reset     func()
 }
 
-func (c *resetAfter) Read(p []byte) (int, error) {
-	if c.left == 0 {
+func (c *resettingConn) Read(p []byte) (int, error) {
+	if c.remaining == 0 {
 		c.reset()
-		c.left = -1
+		c.remaining = -1
 	}
 	n, err := c.Conn.Read(p)
-	if c.left > 0 {
-		c.left -= n
+	if c.remaining > 0 {
+		c.remaining -= n
 	}
 	return n, err
 }
--- a/internal/protocol/figures.go
+++ b/internal/protocol/figures.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 )
 
-// Figures counts answers as the server writes them, for each class, and attempts as they are written whole to
-// workers. Every count is an atomic: nothing on a call's path waits for them. They begin at 0 with the process.
+// Figures counts answers by class as the server writes them, and attempts once they are completely written to workers.
+// Every counter is atomic, so that calls never wait for it. The counters start at 0 with the process.
 type Figures struct {
-	Success, Busy, Failure []atomic.Int64 // 200; refusals (503, 429, 410); 502 and 504, by class
-	Written                atomic.Int64   // attempts of calls whose last byte went out to a worker
+	Success, Busy, Failure []atomic.Int64 // 200; refusals (503, 429, 410); 502 and 504; by class
+	Written                atomic.Int64   // attempts of calls whose last byte was sent to a worker
 }
 
-// NewFigures returns figures for n classes.
+// NewFigures returns counters for n classes.
 func NewFigures(n int) *Figures {
 	return &Figures{Success: make([]atomic.Int64, n), Busy: make([]atomic.Int64, n), Failure: make([]atomic.Int64, n)}
 }
 
-// answered counts an answer of a class.
+// answered counts an answer to a call of the given class.
 func (f *Figures) answered(class int, v Verdict) {
 	if f == nil || class < 0 || class >= len(f.Success) {
 		return
@@ -25,14 +25,14 @@
 	switch v {
 	case Served:
 		f.Success[class].Add(1)
-	case Refused, Limited, Ended: // nothing of it has run
+	case Refused, Limited, Ended: // the call has not run
 		f.Busy[class].Add(1)
 	default:
 		f.Failure[class].Add(1)
 	}
 }
 
-// Report is the figures of a moment, as the door's STATS shows them.
+// Report is a snapshot of the counters, as the admin listener's STATS command returns it.
 type Report struct {
 	Success      map[string]int64 `json:"success"`
 	Busy         map[string]int64 `json:"busy"`
@@ -41,10 +41,10 @@
 	Inflight     int              `json:"inflight"`
 	HostsListed  int              `json:"hosts_listed"`
 	HostsDown    int              `json:"hosts_down"`
-	ListAgeMs    int64            `json:"list_age_ms"` // since the registry last answered
+	ListAgeMs    int64            `json:"list_age_ms"` // since the registry's last response
 }
 
-// Read fills in the counts of a report, each class under its name.
+// Read fills in the counters of a report, keyed by class name.
 func (f *Figures) Read(classes []string, into *Report) {
 	into.Success, into.Busy, into.Failure = map[string]int64{}, map[string]int64{}, map[string]int64{}
 	for i, name := range classes {
@@ -55,8 +55,8 @@
 	into.BackendCalls = f.Written.Load()
 }
 
-// JSON is the report on one line.
+// JSON returns the report on one line.
 func (r *Report) JSON() []byte {
-	b, _ := json.Marshal(r) // maps of strings and numbers: it cannot fail
+	b, _ := json.Marshal(r) // cannot fail: the report holds only maps, strings and numbers
 	return b
 }
--- a/internal/protocol/figures_test.go
+++ b/internal/protocol/figures_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each answer moves the one count of its class and verdict, and no other; a class out of range moves nothing.
+// Each answer increments the one counter of its class and verdict, and no other; a class out of range increments none.
 func TestFiguresCountEachAnswerOnce(t *testing.T) {
 	classes := []string{"a", "b"}
 	for verdict, want := range map[Verdict]Report{
@@ -18,7 +18,7 @@
 		f := NewFigures(len(classes))
 		f.answered(1, verdict)
 		f.answered(2, verdict)  // no such class
-		f.answered(-1, verdict) // a call that never had one
+		f.answered(-1, verdict) // a call without a class
 		var got Report
 		f.Read(classes, &got)
 		if d := cmp.Diff(want, got); d != "" {
@@ -26,5 +26,5 @@
 		}
 	}
 	var none *Figures
-	none.answered(0, Served) // a sidecar without figures counts nothing and does not fail
+	none.answered(0, Served) // a sidecar without counters counts nothing and does not fail
 }
--- a/internal/protocol/lateness.go
+++ b/internal/protocol/lateness.go
@@ -9,126 +9,128 @@
 	"time"
 )
 
-// A process that is out of processor time does everything late: calls wait unread in the kernel, answers wait unwritten,
-// timers fire when their time is long past. Nothing in it is full then, so it has to look at its own lateness. Where that
-// stands, further calls are refused as soon as they have been read, which costs a fraction of carrying one, and those that
-// are carried are given less time, by as much as they have waited here.
+// A process that is short of processor time does everything late: calls wait unread in the kernel, responses wait
+// unwritten, and timers fire long after they are due. None of its queues is full then, so it has to measure its own
+// scheduling delay. While the delay persists, new calls are refused as soon as they have been read, which costs a fraction
+// of forwarding them, and the calls that are forwarded get less time, by as much as they have waited in this process.
 const (
-	busyCalls = 8                      // calls open together; with fewer nothing can stand for long
-	beatPace  = 10 * time.Millisecond  // between two looks at the lateness
-	lateTime  = 200 * time.Millisecond // over which it has to stand; a platform may stop a process for part of that
-	lateBeats = 4                      // looks that takes at least
-	lateMost  = 25 * time.Millisecond  // that may stand without a refusal
-	lateFar   = 4 * lateMost           // that calls for quick action
+	minOpenCalls       = 8                      // with fewer open calls no lasting queue can build up
+	sampleInterval     = 10 * time.Millisecond  // between two measurements of the delay
+	sampleWindow       = 200 * time.Millisecond // time over which the delay has to persist; a platform may pause a process for part of that
+	minSamples         = 4                      // per window
+	delayThreshold     = 25 * time.Millisecond  // a delay up to this causes no refusals
+	highDelayThreshold = 4 * delayThreshold     // a delay above this raises the pressure faster
 
-	pressureLeast = 0.3 // 1 in 28 calls of the least worth
-	pressureMost  = 100 // 99 in 100 of these
-	pressureUp    = 1.5 // for a window late
-	pressureFast  = 2.5 // for one far too late
-	pressureDown  = 0.85
+	minPressure        = 0.3  // refuses 1 in 28 calls of the class with the lowest worth
+	maxPressure        = 100  // refuses 99 in 100 of these
+	pressureGrowth     = 1.5  // factor per window above delayThreshold
+	pressureFastGrowth = 2.5  // factor per window above highDelayThreshold
+	pressureDecay      = 0.85 // factor per window without delay
 )
 
-// lateness is how long what is ready waits in this process before it runs, and what is refused for it.
-type lateness struct {
-	open    atomic.Int64 // calls handed over and not answered
-	watched atomic.Bool  // a goroutine looks
-	stands  atomic.Int64 // the least lateness of the window before, ns
-	presses atomic.Bool  // pressure is over 0
+// overloadDetector measures how long runnable work waits in this process, and decides which calls are refused because of it.
+type overloadDetector struct {
+	openCalls  atomic.Int64 // calls being handled and not answered yet
+	sampling   atomic.Bool  // a goroutine takes samples
+	delayNanos atomic.Int64 // the minimum delay of the last complete window
+	refusing   atomic.Bool  // pressure is above 0
 
-	mu       sync.Mutex
-	since    time.Time // the window's begin
-	beats    int       // in it
-	least    time.Duration
-	pressure float64   // 0 where nothing is refused
-	owed     []float64 // refusals, by class: the whole ones have been given
+	mu            sync.Mutex
+	windowStart   time.Time     // zero before the first sample of a window
+	samples       int           // in the current window
+	minDelay      time.Duration // in the current window
+	pressure      float64       // 0 while nothing is refused
+	refusalCredit []float64     // fractional refusals due, by class; whole ones have been made
 }
 
-// begin counts a call as open. A goroutine looks at the lateness from there on, until there is nothing to see or ctx is done.
-func (l *lateness) begin(ctx context.Context) {
-	if l.open.Add(1) >= busyCalls && l.watched.CompareAndSwap(false, true) {
-		go l.watch(ctx)
+// callStarted counts a call as open. Once enough calls are open, a goroutine samples the delay until there is no load left
+// or ctx is done.
+func (d *overloadDetector) callStarted(ctx context.Context) {
+	if d.openCalls.Add(1) >= minOpenCalls && d.sampling.CompareAndSwap(false, true) {
+		go d.sampleLoop(ctx)
 	}
 }
 
-func (l *lateness) end() { l.open.Add(-1) }
+func (d *overloadDetector) callEnded() { d.openCalls.Add(-1) }
 
-func (l *lateness) watch(ctx context.Context) {
-	for ctx.Err() == nil && (l.open.Load() >= busyCalls || l.presses.Load()) {
-		due := time.Now().Add(beatPace)
-		time.Sleep(beatPace)
-		runtime.Gosched() // a timer is served first; now it is behind all that is ready
+func (d *overloadDetector) sampleLoop(ctx context.Context) {
+	for ctx.Err() == nil && (d.openCalls.Load() >= minOpenCalls || d.refusing.Load()) {
+		due := time.Now().Add(sampleInterval)
+		time.Sleep(sampleInterval)
+		runtime.Gosched() // timers run first; after yielding, this goroutine is behind everything that is runnable
 		now := time.Now()
-		l.beat(now, now.Sub(due))
+		d.addSample(now, now.Sub(due))
 	}
-	l.mu.Lock()
-	l.since, l.pressure = time.Time{}, 0
-	l.presses.Store(false)
-	l.mu.Unlock()
-	l.stands.Store(0)
-	l.watched.Store(false)
+	d.mu.Lock()
+	d.windowStart, d.pressure = time.Time{}, 0
+	d.refusing.Store(false)
+	d.mu.Unlock()
+	d.delayNanos.Store(0)
+	d.sampling.Store(false)
 }
 
-// beat takes one look in. The least lateness of a window counts: what a stop of the whole process causes is over after it,
-// while a queue that stands is met at every look.
-func (l *lateness) beat(now time.Time, late time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.since.IsZero() {
-		l.since, l.beats, l.least = now, 0, late
+// addSample records one measurement. The minimum delay of a window counts: a pause of the whole process delays only a few
+// samples, while a lasting queue delays all of them.
+func (d *overloadDetector) addSample(now time.Time, delay time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.windowStart.IsZero() {
+		d.windowStart, d.samples, d.minDelay = now, 0, delay
 	}
-	l.beats++
-	l.least = min(l.least, late)
-	if now.Sub(l.since) < lateTime || l.beats < lateBeats {
+	d.samples++
+	d.minDelay = min(d.minDelay, delay)
+	if now.Sub(d.windowStart) < sampleWindow || d.samples < minSamples {
 		return
 	}
-	l.stands.Store(int64(l.least))
+	d.delayNanos.Store(int64(d.minDelay))
 	switch {
-	case l.least > lateFar:
-		l.pressure = max(l.pressure*pressureFast, pressureLeast)
-	case l.least > lateMost:
-		l.pressure = max(l.pressure*pressureUp, pressureLeast)
+	case d.minDelay > highDelayThreshold:
+		d.pressure = max(d.pressure*pressureFastGrowth, minPressure)
+	case d.minDelay > delayThreshold:
+		d.pressure = max(d.pressure*pressureGrowth, minPressure)
 	default:
-		l.pressure *= pressureDown
+		d.pressure *= pressureDecay
 	}
-	if l.pressure = min(l.pressure, pressureMost); l.pressure < pressureLeast {
-		l.pressure = 0
+	if d.pressure = min(d.pressure, maxPressure); d.pressure < minPressure {
+		d.pressure = 0
 	}
-	l.presses.Store(l.pressure > 0)
-	l.since = time.Time{}
+	d.refusing.Store(d.pressure > 0)
+	d.windowStart = time.Time{}
 }
 
-// standing is how long a call has probably waited here before it was read.
-func (l *lateness) standing() time.Duration { return max(time.Duration(l.stands.Load()), 0) }
+// delay returns how long a call has probably waited in this process before it was read.
+func (d *overloadDetector) delay() time.Duration { return max(time.Duration(d.delayNanos.Load()), 0) }
 
-// refuses tells whether a call of a class is refused for the lateness: of a class that is worth more, fewer. It spreads
-// the refusals evenly over a class's calls. worth is given by class; nil makes all alike.
-func (l *lateness) refuses(class int, worth []float64) bool {
-	if !l.presses.Load() {
+// shouldRefuse reports whether a call of the given class is refused because of the delay. Classes of higher worth have
+// fewer calls refused. The refusals are spread evenly over the calls of a class. worth is indexed by class; with nil all
+// classes are alike.
+func (d *overloadDetector) shouldRefuse(class int, worth []float64) bool {
+	if !d.refusing.Load() {
 		return false
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for len(l.owed) <= class {
-		l.owed = append(l.owed, 0)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for len(d.refusalCredit) <= class {
+		d.refusalCredit = append(d.refusalCredit, 0)
 	}
-	l.owed[class] += chance(l.pressure, class, worth)
-	if l.owed[class] < 1 {
+	d.refusalCredit[class] += refusalProbability(d.pressure, class, worth)
+	if d.refusalCredit[class] < 1 {
 		return false
 	}
-	l.owed[class]--
+	d.refusalCredit[class]--
 	return true
 }
 
-// chance is the share of a class's calls that is refused.
-func chance(pressure float64, class int, worth []float64) float64 {
-	ratio, least := 1.0, math.Inf(1)
+// refusalProbability returns the share of a class's calls that is refused.
+func refusalProbability(pressure float64, class int, worth []float64) float64 {
+	ratio, minWorth := 1.0, math.Inf(1)
 	for _, w := range worth {
 		if w > 0 {
-			least = min(least, w)
+			minWorth = min(minWorth, w)
 		}
 	}
 	if class < len(worth) && worth[class] > 0 {
-		ratio = worth[class] / least
+		ratio = worth[class] / minWorth
 	}
 	return math.Exp(-ratio / pressure)
 }
--- a/internal/protocol/lateness_test.go
+++ b/internal/protocol/lateness_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// What stands is refused for, the calls of the least worth first; what a stop of the whole process causes is not.
-func TestLateness(t *testing.T) {
+// A lasting delay leads to refusals, of the classes with the lowest worth first; pauses of the whole process do not.
+func TestOverloadDetector(t *testing.T) {
 	const ms = time.Millisecond
 	worth := []float64{1, 5, 10}
 	for name, test := range map[string]struct {
-		late    []time.Duration // of the looks, again and again
+		delays  []time.Duration // of the samples, repeated
 		refused bool
 	}{
 		"on time":               {[]time.Duration{0, ms, 2 * ms}, false},
@@ -19,28 +19,28 @@
 		"late, and stopped too": {[]time.Duration{400 * ms, 120 * ms}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var l lateness
+			var detector overloadDetector
 			now := time.Now()
 			refused := [3]int{}
-			play := func(late []time.Duration) {
+			addSamples := func(delays []time.Duration) {
 				for i := range 1000 {
-					d := late[i%len(late)]
-					now = now.Add(beatPace + d)
-					l.beat(now, d)
+					d := delays[i%len(delays)]
+					now = now.Add(sampleInterval + d)
+					detector.addSample(now, d)
 					for class := range worth {
-						if l.refuses(class, worth) {
+						if detector.shouldRefuse(class, worth) {
 							refused[class]++
 						}
 					}
 				}
 			}
-			play(test.late)
+			addSamples(test.delays)
 			if (refused[0] > 0) != test.refused || refused[0] < refused[1] || refused[1] < refused[2] || test.refused && refused[2] == 1000 {
 				t.Errorf("refused by class: %v", refused)
 			}
-			play([]time.Duration{0}) // and it ends
+			addSamples([]time.Duration{0}) // the refusals end
 			before := refused
-			if play([]time.Duration{0}); refused != before || l.presses.Load() {
+			if addSamples([]time.Duration{0}); refused != before || detector.refusing.Load() {
 				t.Errorf("refused %v after %v on time again", refused, before)
 			}
 		})
--- a/internal/protocol/origin.go
+++ b/internal/protocol/origin.go
@@ -7,37 +7,38 @@
 	"strings"
 )
 
-// Origin is what rules go by beside a call's class.
+// Origin holds the attributes of a call, besides its class, that rules match on.
 type Origin struct {
-	Caller   string // who calls, as it says itself; "" where that is not known
-	Key      string // its Idempotency-Key; "" where it has none
-	Version  string // the API's, as the client names it; "" where it does not
-	UnderWay bool   // it belongs to what was begun before, as the client says
-	Path     string // what follows the class, "" or "/a/b", without the query and in its plain spelling
+	Caller   string // name the caller gives itself; "" if unknown
+	Key      string // Idempotency-Key header; "" if absent
+	Version  string // API version named by the client; "" if absent
+	UnderWay bool   // the client says that the call continues work that began earlier
+	Path     string // normalized path after the class, "" or "/a/b", without the query
 }
 
-// Origins says where calls carry their origin. A name that is "", or a place that is 0, is not looked for.
+// Origins configures where a call's origin is read from. An empty header name or a zero segment disables that attribute.
 type Origins struct {
-	Caller   string // a header
-	Version  string // a header
-	UnderWay string // a header that calls have whose booking is under way
-	Segment  int    // the path's segment that is the version where no header gives it: 1 is the one after the class
+	Caller   string // header name
+	Version  string // header name
+	UnderWay string // name of a header that is set on calls whose booking is under way
+	Segment  int    // path segment that holds the version if no header gives it; 1 is the segment after the class
 }
 
-// maxMark is how long a caller's name or a version may be, in bytes.
-const maxMark = 64
+// maxAttributeBytes is the maximum length of a caller's name or a version.
+const maxAttributeBytes = 64
 
-// mark is a header's value if it stands there once and is 1 to 64 bytes of visible ASCII, else nil.
-func (h *head) mark(name string) []byte {
+// visibleValue returns a header's value if the header occurs exactly once and its value is 1 to 64 bytes of visible ASCII,
+// and nil otherwise.
+func (h *head) visibleValue(name string) []byte {
 	if name == "" || h.count(name) != 1 {
 		return nil
 	}
-	return visible(h.get(name))
+	return visibleASCII(h.get(name))
 }
 
-// visible is b if that is 1 to 64 bytes of visible ASCII, else nil.
-func visible(b []byte) []byte {
-	if len(b) > maxMark {
+// visibleASCII returns b if it is 1 to 64 bytes of visible ASCII, and nil otherwise.
+func visibleASCII(b []byte) []byte {
+	if len(b) > maxAttributeBytes {
 		return nil
 	}
 	for _, c := range b {
@@ -48,37 +49,37 @@
 	return b
 }
 
-// origin reads it from a head; target is its path, which begins with the class.
-func (o *Origins) origin(h *head, target []byte) *Origin {
-	after := bytes.TrimPrefix(target, []byte("/"))
-	if i := bytes.IndexByte(after, '/'); i >= 0 {
-		after = after[i:]
+// extract reads the origin of a call from its head. target is the request's path, which begins with the class.
+func (o *Origins) extract(h *head, target []byte) *Origin {
+	subpath := bytes.TrimPrefix(target, []byte("/"))
+	if i := bytes.IndexByte(subpath, '/'); i >= 0 {
+		subpath = subpath[i:]
 	} else {
-		after = nil
+		subpath = nil
 	}
-	caller, version, key := h.mark(o.Caller), h.mark(o.Version), h.get(headerKey)
-	var room [256]byte
-	all := append(append(append(append(room[:0], after...), caller...), version...), key...)
-	s := string(all) // one string for all of them
+	caller, version, key := h.visibleValue(o.Caller), h.visibleValue(o.Version), h.get(headerIdempotencyKey)
+	var buffer [256]byte
+	joined := append(append(append(append(buffer[:0], subpath...), caller...), version...), key...)
+	s := string(joined) // a single allocation for all strings
 	out := &Origin{}
-	out.Path, s = plain(s[:len(after)]), s[len(after):]
+	out.Path, s = normalizePath(s[:len(subpath)]), s[len(subpath):]
 	out.Caller, s = s[:len(caller)], s[len(caller):]
 	out.Version, out.Key = s[:len(version)], s[len(version):]
-	out.UnderWay = h.mark(o.UnderWay) != nil
+	out.UnderWay = h.visibleValue(o.UnderWay) != nil
 	if out.Version == "" && o.Segment > 0 {
-		out.Version = segment(out.Path, o.Segment)
+		out.Version = pathSegment(out.Path, o.Segment)
 	}
 	return out
 }
 
-// segment is a path's n-th segment, counted from 1, if it can be a version.
-func segment(path string, n int) string {
+// pathSegment returns the n-th segment of a path, counted from 1, if it can be a version, and "" otherwise.
+func pathSegment(path string, n int) string {
 	for ; n > 0 && path != ""; n-- {
 		s, rest := path[1:], ""
 		if i := strings.IndexByte(s, '/'); i >= 0 {
 			s, rest = s[:i], s[i:]
 		}
-		if n == 1 && visible([]byte(s)) != nil {
+		if n == 1 && visibleASCII([]byte(s)) != nil {
 			return s
 		}
 		path = rest
@@ -86,9 +87,9 @@
 	return ""
 }
 
-// plain is a path in the one spelling that rules know: no escapes, no empty segments, no dots to step over, no slash at its end. A
-// worker reads other spellings as the same path, so rules must, or a caller could write his way around them.
-func plain(p string) string {
+// normalizePath returns a path in the form that rules match on: unescaped, without empty or dot segments, and without a
+// trailing slash. Workers treat the other spellings as the same path, so rules must as well, or a caller could evade them.
+func normalizePath(p string) string {
 	if !strings.Contains(p, "%") && !strings.Contains(p, "//") && !strings.Contains(p, "/.") && !strings.HasSuffix(p, "/") {
 		return p
 	}
--- a/internal/protocol/presence.go
+++ b/internal/protocol/presence.go
@@ -11,63 +11,63 @@
 	"burlpass/internal/transport"
 )
 
-// Bounds of what is read of a client that sends on while a request of its is open.
+// Limits on what is read from a client that keeps sending while a request of its is open.
 const (
-	maxAhead  = 64 << 10 // bytes held, to be read as further requests: as many as of one body
-	maxDrop   = MaxBody  // bytes read and dropped beyond that; a client that sends still more is given up
-	dropPiece = 16 << 10 // bytes dropped at a time
-	maxSteps  = 64       // reads of one look, so that a client which never stops sending holds nobody up
+	maxReadAhead      = 64 << 10 // bytes buffered to be parsed as further requests: as many as of one body
+	maxDiscard        = MaxBody  // bytes discarded beyond that; a client that sends even more is given up
+	discardBufferSize = 16 << 10 // bytes discarded per read
+	maxReadsPerCheck  = 64       // bounds one check, so that a client that never stops sending delays nobody
 )
 
-// errFlood says that a client has sent more than maxDrop bytes that nobody asked for.
-var errFlood = errors.New("too much sent ahead")
+// errTooMuchSentAhead means that a client has sent more than maxDiscard bytes beyond what is buffered for further requests.
+var errTooMuchSentAhead = errors.New("client sent too much data ahead of a response")
 
-// source is what the buffer of a client's connection reads from.
-type source struct {
-	conn  *transport.Client
-	again []byte // read into a smaller buffer before, and given out again first
-	cut   bool   // too much has come ahead: what is not held yet is never read as a request
+// clientSource is the reader behind the buffer of a client's connection.
+type clientSource struct {
+	conn      *transport.Client
+	replay    []byte // bytes from a smaller buffer, returned again before anything else is read
+	truncated bool   // too much was sent ahead: what is not buffered yet is never parsed as a request
 
-	total    int64     // bytes read from the connection
-	arrivals []arrival // when those came that may still be asked about, in their order
+	totalRead int64     // bytes read from the connection
+	arrivals  []arrival // when the bytes arrived that may still be asked about, in order
 }
 
-// arrival says when the bytes of a connection up to a place had come.
+// arrival records when all bytes up to a stream offset had arrived.
 type arrival struct {
-	upTo int64
-	at   time.Time
+	offset int64
+	at     time.Time
 }
 
-// maxArrivals bounds what is remembered of arrivals; beyond it two count as one, with the earlier time.
+// maxArrivals bounds the arrivals kept; beyond it two are merged, with the earlier time.
 const maxArrivals = 32
 
-// Read reads from the connection. After a cut it returns io.EOF.
-func (s *source) Read(b []byte) (int, error) {
-	if len(s.again) > 0 {
-		n := copy(b, s.again)
-		s.again = s.again[n:]
+// Read reads from the connection. After truncation it returns io.EOF.
+func (s *clientSource) Read(b []byte) (int, error) {
+	if len(s.replay) > 0 {
+		n := copy(b, s.replay)
+		s.replay = s.replay[n:]
 		return n, nil
 	}
-	if s.cut {
+	if s.truncated {
 		return 0, io.EOF
 	}
 	n, err := s.conn.Read(b)
 	if n > 0 {
-		s.total += int64(n)
+		s.totalRead += int64(n)
 		if len(s.arrivals) == maxArrivals {
-			s.arrivals[maxArrivals-1].upTo = s.total
+			s.arrivals[maxArrivals-1].offset = s.totalRead
 		} else {
-			s.arrivals = append(s.arrivals, arrival{s.total, s.conn.LastByte()})
+			s.arrivals = append(s.arrivals, arrival{s.totalRead, s.conn.LastByte()})
 		}
 	}
 	return n, err
 }
 
-// arrived is when the byte had come that was taken last from r, which reads from s: the last one of the request at hand,
-// once that has been read. What came before it is forgotten.
-func (s *source) arrived(r *bufio.Reader) time.Time {
-	taken := s.total - int64(len(s.again)) - int64(r.Buffered())
-	for len(s.arrivals) > 1 && s.arrivals[0].upTo < taken {
+// arrivalTime returns when the last byte that was consumed from r, which reads from s, had arrived. After a request has
+// been read, that is its last byte. Arrivals before it are dropped.
+func (s *clientSource) arrivalTime(r *bufio.Reader) time.Time {
+	consumed := s.totalRead - int64(len(s.replay)) - int64(r.Buffered())
+	for len(s.arrivals) > 1 && s.arrivals[0].offset < consumed {
 		s.arrivals = append(s.arrivals[:0], s.arrivals[1:]...)
 	}
 	if len(s.arrivals) == 0 {
@@ -76,118 +76,120 @@
 	return s.arrivals[0].at
 }
 
-// presence tells whether a client is still there while a request of its is open. The end of a client that has sent on
-// lies behind what it has sent, so that is read ahead: first into the connection's buffer, then into one of maxAhead
-// bytes. What comes after those is read and dropped, and the connection ends after the requests that are held. This
-// needs nothing of the socket layer but reading; the kernel could be asked for the connection's state instead, but it
-// does not know of an end behind more bytes than it takes itself, and not every socket layer answers that.
-type presence struct {
-	client  *client
-	left    chan struct{} // closed once the client has left
-	done    chan struct{} // closed when the request has its answer
-	watched chan struct{} // closed when the watching has ended
-
-	mu      sync.Mutex // guards what follows, and the connection's buffer while the request is open
-	reads   bool       // the request's message has been read whole: what comes after it may be read ahead
-	over    bool       // the request has its answer: the buffer belongs to the connection's own goroutine again
-	gone    bool       // left is closed
-	dropped int64      // bytes
+// disconnectWatcher detects that a client disconnects while a request of its is open. The end of the stream of a client
+// that has sent more data lies behind that data, so the data is read ahead: first into the connection's buffer, then into
+// one of maxReadAhead bytes. Anything beyond that is read and discarded, and the connection ends after the requests that
+// are buffered. This requires only reads from the socket layer. The kernel could be asked for the connection's state
+// instead, but it does not report an end behind more bytes than its receive buffer holds, and not every socket layer
+// answers the question.
+type disconnectWatcher struct {
+	client       *client
+	disconnected chan struct{} // closed once the client has disconnected
+	done         chan struct{} // closed when the request has been answered
+	stopped      chan struct{} // closed when watching has ended
+
+	mu           sync.Mutex // guards the fields below, and the connection's buffer while the request is open
+	mayReadAhead bool       // the request's message has been read completely, so what follows may be read ahead
+	answered     bool       // the request has been answered: the buffer belongs to the connection's own goroutine again
+	gone         bool       // disconnected is closed
+	discarded    int64      // bytes
 }
 
-// presence returns the client's presence, which nothing watches yet.
-func (c *client) presence() *presence {
-	return &presence{client: c, reads: c.upload == nil, left: make(chan struct{}), done: make(chan struct{}), watched: make(chan struct{})}
+// newDisconnectWatcher returns a watcher that is not running yet.
+func (c *client) newDisconnectWatcher() *disconnectWatcher {
+	return &disconnectWatcher{client: c, mayReadAhead: c.upload == nil, disconnected: make(chan struct{}), done: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// here looks at the connection and tells that the client had not left when asked. It does not wait for the client, and
-// may be called from any goroutine.
-func (p *presence) here() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for range maxSteps {
-		if p.over || p.gone {
+// isConnected checks the connection and reports whether the client was still connected at that moment. It does not wait
+// for the client, and may be called from any goroutine.
+func (w *disconnectWatcher) isConnected() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for range maxReadsPerCheck {
+		if w.answered || w.gone {
 			return false
 		}
-		switch p.client.Pending() {
+		switch w.client.Pending() {
 		case transport.End:
-			p.leave()
+			w.markDisconnected()
 		case transport.Bytes:
-			if !p.reads { // they belong to the request's own message, and its reader sees what is behind them
+			if !w.mayReadAhead { // the bytes belong to the request's own message, and its reader sees what follows them
 				return true
 			}
-			if err := p.client.readAhead(&p.dropped); err != nil && !isTimeout(err) {
-				p.leave()
+			if err := w.client.readAhead(&w.discarded); err != nil && !isTimeout(err) {
+				w.markDisconnected()
 			}
 		default:
 			return true
 		}
 	}
-	return !p.gone
+	return !w.gone
 }
 
-// leave is called under the lock.
-func (p *presence) leave() {
-	if !p.over && !p.gone {
-		p.gone = true
-		close(p.left)
+// markDisconnected must be called with the lock held.
+func (w *disconnectWatcher) markDisconnected() {
+	if !w.answered && !w.gone {
+		w.gone = true
+		close(w.disconnected)
 	}
 }
 
-// watch looks whenever something comes from the client, until end.
-func (p *presence) watch() {
-	defer close(p.watched)
-	if u := p.client.upload; u != nil {
-		whole, err := u.await(p.done)
-		p.mu.Lock()
+// watch checks the connection whenever the client sends something, until stop.
+func (w *disconnectWatcher) watch() {
+	defer close(w.stopped)
+	if u := w.client.upload; u != nil {
+		whole, err := u.awaitComplete(w.done)
+		w.mu.Lock()
 		if err != nil {
-			p.leave()
+			w.markDisconnected()
 		}
-		p.reads = whole
-		p.mu.Unlock()
+		w.mayReadAhead = whole
+		w.mu.Unlock()
 		if !whole {
 			return
 		}
 	}
 	for {
-		err := p.client.Await()
+		err := w.client.Await()
 		switch {
 		case err != nil && (isTimeout(err) || errors.Is(err, errors.ErrUnsupported)):
 			return
 		case err != nil:
-			p.mu.Lock()
-			p.leave()
-			p.mu.Unlock()
+			w.mu.Lock()
+			w.markDisconnected()
+			w.mu.Unlock()
 			return
 		}
-		if !p.here() {
+		if !w.isConnected() {
 			return
 		}
 	}
 }
 
-// hasLeft tells that the client has been seen to leave.
-func (p *presence) hasLeft() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.gone
+// hasDisconnected reports whether the client has been seen to disconnect.
+func (w *disconnectWatcher) hasDisconnected() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.gone
 }
 
-// end ends the watching, and returns when nobody but the caller reads from the connection.
-func (p *presence) end() {
-	p.mu.Lock()
-	p.over = true
-	p.mu.Unlock()
-	close(p.done)
-	p.client.Wake()
-	<-p.watched
+// stop ends watching, and returns when only the caller reads from the connection.
+func (w *disconnectWatcher) stop() {
+	w.mu.Lock()
+	w.answered = true
+	w.mu.Unlock()
+	close(w.done)
+	w.client.Wake()
+	<-w.stopped
 }
 
-// readAhead reads of what the client has sent after a request that is still open. It is called where bytes lie unread.
-func (c *client) readAhead(dropped *int64) error {
-	if c.in.cut {
-		n, err := c.Client.Read(make([]byte, dropPiece))
-		if *dropped += int64(n); *dropped > maxDrop {
-			return errFlood
+// readAhead reads part of what the client has sent after a request that is still open. It is called when unread bytes are
+// available.
+func (c *client) readAhead(discarded *int64) error {
+	if c.source.truncated {
+		n, err := c.Client.Read(make([]byte, discardBufferSize))
+		if *discarded += int64(n); *discarded > maxDiscard {
+			return errTooMuchSentAhead
 		}
 		return err
 	}
@@ -195,26 +197,26 @@
 	switch {
 	case !errors.Is(err, bufio.ErrBufferFull):
 		return err
-	case c.r.Size() < maxAhead:
-		c.widen()
+	case c.r.Size() < maxReadAhead:
+		c.growBuffer()
 	default:
-		c.in.cut = true
+		c.source.truncated = true
 	}
 	return nil
 }
 
-// widen gives the connection a buffer for more requests that have come ahead.
-func (c *client) widen() {
-	held, _ := c.r.Peek(c.r.Buffered())
-	c.in.again = bytes.Clone(held)
-	c.r = bufio.NewReaderSize(&c.in, maxAhead)
-	c.r.Peek(1) // takes all of them over
+// growBuffer gives the connection a larger buffer for requests that were sent ahead.
+func (c *client) growBuffer() {
+	buffered, _ := c.r.Peek(c.r.Buffered())
+	c.source.replay = bytes.Clone(buffered)
+	c.r = bufio.NewReaderSize(&c.source, maxReadAhead)
+	c.r.Peek(1) // moves all replayed bytes into the buffer
 }
 
-// narrow goes back to the buffer that the connection has had from its begin, once the wider one is empty.
-func (c *client) narrow() {
-	if c.r != c.small && c.r.Buffered() == 0 {
-		c.small.Reset(&c.in)
-		c.r = c.small
+// shrinkBuffer returns to the connection's original buffer once the larger one is empty.
+func (c *client) shrinkBuffer() {
+	if c.r != c.smallReader && c.r.Buffered() == 0 {
+		c.smallReader.Reset(&c.source)
+		c.r = c.smallReader
 	}
 }
--- a/internal/protocol/presence_test.go
+++ b/internal/protocol/presence_test.go
@@ -10,8 +10,8 @@
 	"burlpass/internal/transport"
 )
 
-// connected gives a client's connection and the other side of it.
-func connected(t *testing.T) (*client, net.Conn) {
+// newClientPair returns a client's connection and its remote end.
+func newClientPair(t *testing.T) (*client, net.Conn) {
 	t.Helper()
 	l, err := transport.Listen(transport.System{}, "127.0.0.1:0", 4, 1)
 	if err != nil {
@@ -19,54 +19,54 @@
 	}
 	served, done := make(chan *transport.Client), make(chan struct{})
 	go l.Accept(func(c *transport.Client) { served <- c; <-done }, nil)
-	far, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close(); close(done); l.Close(); l.Wait() })
+	t.Cleanup(func() { peer.Close(); close(done); l.Close(); l.Wait() })
 	c := &client{Client: <-served}
-	c.in.conn = c.Client
-	c.small = bufio.NewReaderSize(&c.in, maxHead)
-	c.r = c.small
-	return c, far
+	c.source.conn = c.Client
+	c.smallReader = bufio.NewReaderSize(&c.source, maxHeadBytes)
+	c.r = c.smallReader
+	return c, peer
 }
 
-// The last look before an attempt's first byte sees an end that lies in the kernel, also where the goroutine that watches
-// has not run since: here none does. What was sent ahead of the end changes nothing.
-func TestLastLook(t *testing.T) {
-	for name, ahead := range map[string]int{"nothing": 0, "a byte": 1, "a head": maxHead, "more than a head": maxHead + 1,
-		"all that is held": maxAhead, "more than that": 3 * maxAhead} {
+// The check right before an attempt's first byte must see a disconnect that the kernel knows of, even if the watching
+// goroutine has not run since; here none is running. Data that was sent before the disconnect makes no difference.
+func TestDisconnectSeenBeforeFirstByte(t *testing.T) {
+	for name, sentAhead := range map[string]int{"nothing": 0, "a byte": 1, "a head": maxHeadBytes, "more than a head": maxHeadBytes + 1,
+		"a full buffer": maxReadAhead, "more than a full buffer": 3 * maxReadAhead} {
 		for how, end := range map[string]func(*net.TCPConn){
-			"closes":     func(far *net.TCPConn) { far.Close() },
-			"resets":     func(far *net.TCPConn) { far.SetLinger(0); far.Close() },
-			"ends write": func(far *net.TCPConn) { far.CloseWrite() },
+			"closes":     func(peer *net.TCPConn) { peer.Close() },
+			"resets":     func(peer *net.TCPConn) { peer.SetLinger(0); peer.Close() },
+			"ends write": func(peer *net.TCPConn) { peer.CloseWrite() },
 		} {
-			t.Run(how+" behind "+name, func(t *testing.T) {
-				c, far := connected(t)
-				p := c.presence()
-				if !p.here() {
-					t.Fatal("gone before it went")
+			t.Run(how+" after "+name, func(t *testing.T) {
+				c, peer := newClientPair(t)
+				watcher := c.newDisconnectWatcher()
+				if !watcher.isConnected() {
+					t.Fatal("reported as disconnected while connected")
 				}
-				if _, err := io.WriteString(far, strings.Repeat("x", ahead)); err != nil {
+				if _, err := io.WriteString(peer, strings.Repeat("x", sentAhead)); err != nil {
 					t.Fatal(err)
 				}
-				for c.Pending() != transport.Bytes && ahead > 0 {
+				for c.Pending() != transport.Bytes && sentAhead > 0 {
 				}
-				if ahead <= maxHead && !p.here() {
-					t.Fatal("gone before it went")
+				if sentAhead <= maxHeadBytes && !watcher.isConnected() {
+					t.Fatal("reported as disconnected while connected")
 				}
-				end(far.(*net.TCPConn))
+				end(peer.(*net.TCPConn))
 				for c.Pending() == transport.Nothing { // loopback delivers it at once
 				}
-				for c.Pending() == transport.Bytes && p.here() { // as the watching goroutine would
+				for c.Pending() == transport.Bytes && watcher.isConnected() { // as the watching goroutine would
 				}
-				if p.here() {
-					t.Error("it is held to be present")
+				if watcher.isConnected() {
+					t.Error("still reported as connected")
 				}
 				select {
-				case <-p.left:
+				case <-watcher.disconnected:
 				default:
-					t.Error("nobody is told")
+					t.Error("disconnected is not closed")
 				}
 			})
 		}
--- a/internal/protocol/registry.go
+++ b/internal/protocol/registry.go
@@ -14,10 +14,10 @@
 	"burlpass/internal/transport"
 )
 
-// Lifecycle is what the registry says of a worker.
+// Lifecycle is the state of a worker according to the registry.
 type Lifecycle uint8
 
-// The lifecycles.
+// The lifecycle states.
 const (
 	Removed Lifecycle = iota
 	LifecycleDraining
@@ -33,17 +33,17 @@
 	Cell      int       `json:"cell"`
 	Lifecycle Lifecycle `json:"lifecycle"`
 	Weight    float64   `json:"weight"`
-	StartedMs int64     `json:"startedAtMs"` // Unix time; 0 means long ago
+	StartedMs int64     `json:"startedAtMs"` // Unix time in milliseconds; 0 means long ago
 }
 
-// List is the whole list where Reset is set, else the entries that have changed.
+// List is the complete list if Reset is set, and otherwise the entries that have changed.
 type List struct {
 	Generation uint64     `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// UnmarshalJSON reads a lifecycle by name.
+// UnmarshalJSON parses a lifecycle by its name.
 func (l *Lifecycle) UnmarshalJSON(b []byte) error {
 	switch string(b) {
 	case `"up"`:
@@ -58,13 +58,13 @@
 	return nil
 }
 
-// Bounds of a list, so that bad data cannot take the sidecar's memory.
+// Limits on a list, so that invalid data cannot exhaust the sidecar's memory.
 const (
-	maxList      = 4 << 20 // bytes
+	maxListBytes = 4 << 20
 	maxInstances = 10_000
 )
 
-// ParseList reads the registry's JSON and checks what the sidecar relies on.
+// ParseList parses the registry's JSON and validates the properties that the sidecar relies on.
 func ParseList(text []byte) (*List, error) {
 	var l struct {
 		List
@@ -95,7 +95,7 @@
 	return &l.List, nil
 }
 
-// maxStartedMs is the latest start whose nanoseconds still fit.
+// maxStartedMs is the latest start time whose nanoseconds fit into an int64.
 const maxStartedMs = int64(1<<63-1) / int64(time.Millisecond)
 
 func (i *Instance) check() error {
@@ -109,34 +109,34 @@
 		return fmt.Errorf("%w: instance %q: address %q", ErrMalformed, i.ID, i.Addr)
 	}
 	if i.Weight < 0 || i.StartedMs < 0 || i.StartedMs > maxStartedMs || i.Cell < 0 {
-		return fmt.Errorf("%w: instance %q: a figure out of range", ErrMalformed, i.ID)
+		return fmt.Errorf("%w: instance %q: number out of range", ErrMalformed, i.ID)
 	}
 	return nil
 }
 
-// Registry asks the registry's service for lists. A Registry is used by one goroutine at a time.
+// Registry is a client of the service registry. It must be used by one goroutine at a time.
 type Registry struct {
 	Network transport.Network
 	Addr    string
-	Wait    time.Duration // that a watch asks for
-	Grace   time.Duration // in which an answer must be there, beyond its wait for a watch
+	Wait    time.Duration // how long a watch asks the registry to wait for changes
+	Grace   time.Duration // time limit for a response, in addition to the wait of a watch
 	conn    net.Conn
 	r       *bufio.Reader
 }
 
-// Watch waits for something newer than a generation.
+// Watch waits for a list that is newer than the given generation.
 func (g *Registry) Watch(ctx context.Context, since uint64) (*List, error) {
 	target := "/catalog/members?since=" + strconv.FormatUint(since, 10) +
 		"&timeout_ms=" + strconv.FormatInt(g.Wait.Milliseconds(), 10)
 	return g.get(ctx, target, g.Wait+g.Grace)
 }
 
-// Fetch asks for the whole list.
+// Fetch requests the complete list.
 func (g *Registry) Fetch(ctx context.Context) (*List, error) {
 	return g.get(ctx, "/catalog/members", g.Grace)
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (g *Registry) Close() {
 	if g.conn != nil {
 		g.conn.Close()
@@ -152,7 +152,7 @@
 		if err != nil {
 			return nil, err
 		}
-		g.conn, g.r = conn, bufio.NewReaderSize(conn, maxHead)
+		g.conn, g.r = conn, bufio.NewReaderSize(conn, maxHeadBytes)
 	}
 	conn := g.conn
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })
@@ -174,29 +174,29 @@
 		return nil, false, err
 	}
 	if status != 200 {
-		return nil, false, fmt.Errorf("the registry answered %d", status)
+		return nil, false, fmt.Errorf("registry responded with status %d", status)
 	}
 	body, err := readList(g.r, &h)
 	if err != nil {
 		return nil, false, err
 	}
 	list, err = ParseList(body)
-	return list, !h.closing, err
+	return list, !h.closeAfter, err
 }
 
-// readList reads a list's body, which may be larger than a call's.
+// readList reads the body of a list, which may be larger than that of a call.
 func readList(r *bufio.Reader, h *head) ([]byte, error) {
 	switch {
 	case h.chunked:
-		return readBody(r, h, nil, maxList)
-	case h.length > maxList:
+		return readBody(r, h, nil, maxListBytes)
+	case h.length > maxListBytes:
 		return nil, ErrBodyTooBig
 	case h.length < 0:
-		h.closing = true
-		b, err := io.ReadAll(io.LimitReader(r, maxList))
+		h.closeAfter = true
+		b, err := io.ReadAll(io.LimitReader(r, maxListBytes))
 		return b, err
 	}
 	b := make([]byte, h.length)
 	_, err := io.ReadFull(r, b)
-	return b, whole(err)
+	return b, unexpectedEOF(err)
 }
--- a/internal/protocol/report.go
+++ b/internal/protocol/report.go
@@ -7,11 +7,12 @@
 	"strconv"
 )
 
-// loadHeader carries a load report: TEXT name=value, name=value
-const loadHeader = "Endpoint-Load-Metrics"
+// headerLoadReport carries a load report of the form: TEXT name=value, name=value
+const headerLoadReport = "Endpoint-Load-Metrics"
 
-// parseReport returns a report's values in the order of columns, nil where one is missing or is no number.
-func parseReport(text []byte, columns []string) []float32 {
+// parseLoadReport returns the values of a load report in the order of columns, or nil if one is missing or not a finite
+// number.
+func parseLoadReport(text []byte, columns []string) []float32 {
 	text = bytes.TrimSpace(text)
 	text, ok := bytes.CutPrefix(text, []byte("TEXT "))
 	if !ok || len(columns) == 0 {
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -15,104 +15,104 @@
 	"burlpass/internal/transport"
 )
 
-// Handler gives every call its one answer.
+// Handler produces the single answer to each call.
 type Handler interface {
 	Serve(c *Call) Answer
-	Healthy() bool // able to serve
+	Healthy() bool // reports whether calls can be served
 }
 
-// Names of the headers that matter here.
+// Header names.
 const (
-	headerClass   = "X-Qos"
-	headerTrace   = "X-Trace-Id"
-	headerExpires = "X-Expires-In"
-	headerRepeat  = "X-Second-Try"
-	headerKey     = "Idempotency-Key"
-	headerUnrun   = "X-Never-Ran"
+	headerClass          = "X-Qos"
+	headerTrace          = "X-Trace-Id"
+	headerExpires        = "X-Expires-In"
+	headerRetry          = "X-Second-Try"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerNeverRan       = "X-Never-Ran"
 )
 
 const (
-	healthPath   = "/_health"
-	silentTime   = 2 * time.Second         // a new connection's time for its first byte
-	readTime     = 2500 * time.Millisecond // for one call's head, the first one counted from its connection's begin
-	leastSilent  = 250 * time.Millisecond  // the same two for a connection that waited long until it was accepted
-	leastRead    = 500 * time.Millisecond
-	stallTime    = 2200 * time.Millisecond // since a client's last byte, in the middle of a request; it is owed an error or a close in 3 s
-	idleTime     = 5 * time.Second         // a client's connection between two calls
-	writeTime    = 2 * time.Second         // for one short answer: the client is on this machine and wants it
-	answerMargin = 10 * time.Millisecond   // for the way of an answer back to its client
-	maxExpires   = time.Hour               // a longer wait is held to be garbage
+	healthPath          = "/_health"
+	firstByteTimeout    = 2 * time.Second         // for the first byte on a new connection
+	headTimeout         = 2500 * time.Millisecond // for the head of one call; for the first call it counts from the start of the connection
+	minFirstByteTimeout = 250 * time.Millisecond  // minimum of firstByteTimeout and headTimeout for a connection that waited long to be accepted
+	minHeadTimeout      = 500 * time.Millisecond
+	stallTimeout        = 2200 * time.Millisecond // since the client's last byte within a request; the client is owed an error or a close within 3 s
+	idleTimeout         = 5 * time.Second         // for a client's connection between two calls
+	writeTimeout        = 2 * time.Second         // for one short response: the client runs on this machine and is waiting for it
+	answerMargin        = 10 * time.Millisecond   // reserved for the response's way back to the client
+	maxExpires          = time.Hour               // longer deadlines are considered invalid
 )
 
-// Server serves clients over HTTP/1.1: it reads their calls, hands them to the handler, writes the answers.
+// Server serves clients over HTTP/1.1: it reads their calls, passes them to the handler and writes the answers.
 type Server struct {
 	Handler  Handler
-	Classes  []string        // class names; a class is its position
-	Worth    []float64       // of a call of each class, by which calls are refused where the processor is short; nil for all alike
-	Longest  time.Duration   // the longest deadline of the classes; ids of answered requests are remembered for at least that long
-	Advice   time.Duration   // how long a client stays away that is refused for want of room or time, 0 for no advice
-	Draining context.Context // done from the moment on which clients are steered away
-	Closing  context.Context // done when connections without a call are to end
-	Held     *atomic.Bool    // true while the operators have drained the sidecar: steered away as when Draining
-	Figures  *Figures        // counts the calls' answers; nil for none
-	Origins  *Origins        // where calls carry what rules go by; nil where nobody asks
+	Classes  []string        // class names, indexed by class
+	Worth    []float64       // of a call, by class; decides which calls are refused when the processor is short; nil if all are alike
+	Longest  time.Duration   // the longest deadline of all classes; IDs of answered requests are remembered for at least that long
+	Advice   time.Duration   // how long a client stays away that is refused for lack of capacity or time, 0 for no advice
+	Draining context.Context // done from the moment on which clients are told to go elsewhere
+	Closing  context.Context // done when connections without a call are to be closed
+	Held     *atomic.Bool    // true while an operator has drained the sidecar: has the same effect as Draining
+	Figures  *Figures        // counts the calls' answers; may be nil
+	Origins  *Origins        // where calls carry what rules match on; nil if no rules are in use
 	Log      *slog.Logger
 
-	Invariants *invariant.Monitor // counts what must never happen; nil: nobody counts
+	Invariants *invariant.Monitor // counts violations of invariants; may be nil
 
-	rejected tally
-	refused  tally
-	traces   traces
-	late     lateness
+	rejectionLog logLimiter
+	overloadLog  logLimiter
+	requestIDs   recentIDs
+	overload     overloadDetector
 }
 
-// client is one client's connection.
+// client is the connection of one client.
 type client struct {
 	*Server
 	*transport.Client
-	in      source        // what r reads from
-	small   *bufio.Reader // of the size of a head
-	r       *bufio.Reader // small, or a wider one while requests have come ahead
-	head    head
-	body    []byte
-	upload  *upload   // the rest of the body of the call at hand, nil where that is whole
-	started time.Time // of the call's first byte
-	asked   bool      // there has been a call before
-	stage   string    // what of the request at hand is read, for the log
-	due     time.Time // when the client of the request at hand gives up; zero where the request has not come whole
-	settled time.Time // when the request before had its answer
-	closing bool      // no further call on this connection
-	broken  bool      // nothing is owed to the client any more, or it must see that an answer is not whole
+	source       clientSource  // what r reads from
+	smallReader  *bufio.Reader // buffers at most one head
+	r            *bufio.Reader // smallReader, or a larger one while requests have been sent ahead
+	head         head
+	body         []byte
+	upload       *upload   // the rest of the current call's body, nil if that is complete
+	started      time.Time // when the call's first byte arrived
+	hadCall      bool      // there has been a call on this connection
+	readStage    string    // part of the current request that is being read, for the log
+	deadline     time.Time // when the current request's client gives up; zero while the request has not been received completely
+	lastAnswered time.Time // when the previous request was answered
+	closing      bool      // no further call on this connection
+	broken       bool      // nothing more is sent to the client, or it must notice that a response is incomplete
 }
 
-// failure is an answer that needs no handler.
-type failure struct {
+// httpError is an error response that does not involve the handler.
+type httpError struct {
 	status int
 	text   string
 }
 
-func (f *failure) Error() string { return f.text }
+func (f *httpError) Error() string { return f.text }
 
-// Serve reads and answers one call after another until the connection is to end, and ends it in order. The listener closes
-// it when Serve returns.
+// Serve reads and answers calls one after another until the connection is to end, and then closes it gracefully. The
+// listener closes the connection when Serve returns.
 func (s *Server) Serve(conn *transport.Client) {
-	c := &client{Server: s, Client: conn, in: source{conn: conn}}
-	c.small = bufio.NewReaderSize(&c.in, maxHead)
-	c.r = c.small
+	c := &client{Server: s, Client: conn, source: clientSource{conn: conn}}
+	c.smallReader = bufio.NewReaderSize(&c.source, maxHeadBytes)
+	c.r = c.smallReader
 	stop := context.AfterFunc(s.Closing, conn.EndRest)
 	defer stop()
-	c.run()
-	c.finish()
+	c.serveCalls()
+	c.closeGracefully()
 }
 
-// run reads and answers one call after another.
-func (c *client) run() {
+// serveCalls reads and answers one call after another.
+func (c *client) serveCalls() {
 	server := c.Server
 	for !c.closing {
-		if !c.await() {
+		if !c.awaitCall() {
 			return
 		}
-		call, err := c.read()
+		call, err := c.readCall()
 		if !c.Enter(transport.Busy) {
 			return
 		}
@@ -121,39 +121,39 @@
 			c.checkStopped(err)
 			c.reject(err)
 		case call == nil:
-			c.health()
+			c.answerHealthCheck()
 		case c.Crowded:
 			c.closing = true
 			c.refuse(call)
-		case server.late.presses.Load() && !c.presence().here(): // nobody waits for it any more
+		case server.overload.refusing.Load() && !c.newDisconnectWatcher().isConnected(): // the client no longer waits for the answer
 			return
-		case server.late.refuses(call.Class, server.Worth) || call.Budget <= 0 && c.waited():
-			server.tellLate()
+		case server.overload.shouldRefuse(call.Class, server.Worth) || call.Budget <= 0 && c.wasDelayed():
+			server.logOverload()
 			c.refuse(call)
-		case !server.traces.take(c.head.get(headerTrace), c.started, server.Longest):
-			c.reject(&failure{409, "the id of another call"})
+		case !server.requestIDs.tryAdd(c.head.get(headerTrace), c.started, server.Longest):
+			c.reject(&httpError{409, "the id of another call"})
 		default:
-			c.serve(call)
-			server.traces.end(c.head.get(headerTrace), time.Now(), server.Longest)
+			c.handle(call)
+			server.requestIDs.finish(c.head.get(headerTrace), time.Now(), server.Longest)
 		}
-		if cap(c.body) > maxHead {
-			c.body = nil // large bodies are rare; an idle connection holds no memory for them
+		if cap(c.body) > maxHeadBytes {
+			c.body = nil // large bodies are rare; an idle connection keeps no memory for them
 		}
 	}
 }
 
-// await waits for a call's first byte. Until then the connection may be closed to make room for another.
-func (c *client) await() bool {
-	c.narrow()
+// awaitCall waits for the first byte of a call. Until then the connection may be closed to make room for another one.
+func (c *client) awaitCall() bool {
+	c.shrinkBuffer()
 	now := time.Now()
-	phase, until, limit := transport.Resting, now.Add(idleTime), readTime
-	if !c.asked { // who connects and says nothing, or half of something, is owed an end in 3 s altogether
-		phase, until = transport.Silent, transport.Latest(c.Begun().Add(silentTime), now.Add(leastSilent))
-		limit = max(readTime-now.Sub(c.Begun()), leastRead)
-		c.asked = true
+	phase, until, limit := transport.Resting, now.Add(idleTimeout), headTimeout
+	if !c.hadCall { // a client that connects and sends nothing, or an incomplete request, is owed an end within 3 s in total
+		phase, until = transport.Silent, transport.Latest(c.Begun().Add(firstByteTimeout), now.Add(minFirstByteTimeout))
+		limit = max(headTimeout-now.Sub(c.Begun()), minHeadTimeout)
+		c.hadCall = true
 	}
 	c.Receive(transport.Stage{Until: until, AtRest: true})
-	if c.Closing.Err() != nil { // a request that has come is still answered
+	if c.Closing.Err() != nil { // a request that has arrived is still answered
 		c.EndRest()
 	}
 	if !c.Enter(phase) {
@@ -163,95 +163,98 @@
 		return false
 	}
 	c.started = time.Now()
-	c.receive(limit)
+	c.limitRead(limit)
 	return true
 }
 
-// receive begins a part of a request: its bytes may take so long altogether, and pause for no longer than stallTime.
-func (c *client) receive(limit time.Duration) {
-	c.Receive(transport.Stage{Stall: stallTime, Until: time.Now().Add(limit)})
+// limitRead sets the time limits for part of a request: its bytes may take up to limit in total, and pause for no longer
+// than stallTimeout.
+func (c *client) limitRead(limit time.Duration) {
+	c.Receive(transport.Stage{Stall: stallTimeout, Until: time.Now().Add(limit)})
 }
 
-// read reads one call whole. It returns nil for a health check.
-func (c *client) read() (*Call, error) {
-	c.closing = true // until the message has been read whole, nothing can follow it
+// readCall reads one complete call. It returns nil for a health check.
+func (c *client) readCall() (*Call, error) {
+	c.closing = true // until the message has been read completely, nothing can follow it
 	h := &c.head
-	h.fields = h.fields[:0] // those of the request before say nothing of this one
-	c.stage = "head"
+	h.fields = h.fields[:0] // the previous request's fields must not be taken for this one's
+	c.readStage = "head"
 	if err := readHead(c.r, h); err != nil {
 		return nil, err
 	}
 	if err := h.parse(); err != nil {
 		return nil, err
 	}
-	version := h.start[2]
+	version := h.startLine[2]
 	if !bytes.Equal(version, []byte("HTTP/1.1")) && !bytes.Equal(version, []byte("HTTP/1.0")) ||
-		!token(h.start[0]) || len(h.start[1]) == 0 || bytes.IndexByte(version, ' ') >= 0 {
+		!isToken(h.startLine[0]) || len(h.startLine[1]) == 0 || bytes.IndexByte(version, ' ') >= 0 {
 		return nil, malformed("request line")
 	}
-	if m := string(h.start[0]); m == "HEAD" || m == "CONNECT" { // their answers are framed unlike all others
-		return nil, &failure{400, "method not served"}
+	if m := string(h.startLine[0]); m == "HEAD" || m == "CONNECT" { // responses to these methods are framed differently
+		return nil, &httpError{400, "method not served"}
 	}
 	if h.length > MaxBody {
 		return nil, ErrBodyTooBig
 	}
-	if is(h.get("Expect"), "100-continue") && (h.chunked || h.length > 0) && c.r.Buffered() == 0 {
-		if err := c.Send(net.Buffers{[]byte("HTTP/1.1 100 Continue\r\n\r\n")}, writeTime); err != nil {
+	if equalFold(h.get("Expect"), "100-continue") && (h.chunked || h.length > 0) && c.r.Buffered() == 0 {
+		if err := c.Send(net.Buffers{[]byte("HTTP/1.1 100 Continue\r\n\r\n")}, writeTimeout); err != nil {
 			return nil, err
 		}
 	}
-	c.stage = "body"
-	if err := c.window(); err != nil {
+	c.readStage = "body"
+	if err := c.readWindow(); err != nil {
 		return nil, err
 	}
-	c.closing = c.last() || c.upload != nil
-	path, _, _ := bytes.Cut(h.start[1], []byte("?"))
+	c.closing = c.isLastCall() || c.upload != nil
+	path, _, _ := bytes.Cut(h.startLine[1], []byte("?"))
 	if string(path) == healthPath {
 		return nil, nil
 	}
-	return c.call(path)
+	return c.newCall(path)
 }
 
-// last tells that the client's connection ends with the call at hand.
-func (c *client) last() bool { return c.head.closing || c.head.start[2][7] == '0' || c.steering() }
+// isLastCall reports whether the client's connection ends after the current call.
+func (c *client) isLastCall() bool {
+	return c.head.closeAfter || c.head.startLine[2][7] == '0' || c.isDraining()
+}
 
-// window reads a body that is short, or the beginning of a long one.
-func (c *client) window() (err error) {
-	body := c.head.body(c.r, false, MaxBody)
+// readWindow reads a short body, or the beginning of a long one.
+func (c *client) readWindow() (err error) {
+	body := c.head.newBodyReader(c.r, false, MaxBody)
 	c.upload, c.body = nil, c.body[:0]
-	if body.over {
+	if body.done {
 		return nil
 	}
-	most := maxHeld
-	if c.head.length > maxHeld {
-		most = maxWindow
+	limit := maxBufferedBody
+	if c.head.length > maxBufferedBody {
+		limit = bodyWindow
 	}
 	begun := time.Now()
-	c.receive(bodyLimit(int64(most)))
-	if c.body, err = body.upTo(c.body, most); err != nil {
+	c.limitRead(bodyTimeout(int64(limit)))
+	if c.body, err = body.readUpTo(c.body, limit); err != nil {
 		return err
 	}
-	if !body.over && body.chunked && body.left == 0 { // it may end just here
+	if !body.done && body.chunked && body.remaining == 0 { // the body may end exactly here
 		if err := body.nextChunk(); err != nil && err != io.EOF {
 			return err
 		}
 	}
-	if !body.over {
+	if !body.done {
 		c.upload = newUpload(body, c.Client, time.Since(begun), int64(len(c.body)), 0)
 	}
 	return nil
 }
 
-// call makes the protocol-neutral call of what has been read.
-func (c *client) call(path []byte) (*Call, error) {
-	for _, name := range []string{headerClass, headerTrace, headerExpires, headerKey} {
-		if c.head.count(name) > 1 { // sidecar and worker could each take another
-			return nil, &failure{400, name + " more than once"}
+// newCall builds the protocol-independent call from what has been read.
+func (c *client) newCall(path []byte) (*Call, error) {
+	for _, name := range []string{headerClass, headerTrace, headerExpires, headerIdempotencyKey} {
+		if c.head.count(name) > 1 { // the sidecar and the worker could each use a different one
+			return nil, &httpError{400, name + " more than once"}
 		}
 	}
 	name, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
 	if v := c.head.get(headerClass); v != nil && !bytes.Equal(v, name) {
-		return nil, &failure{400, "class and path differ"}
+		return nil, &httpError{400, "class and path differ"}
 	}
 	class := -1
 	for i, k := range c.Classes {
@@ -260,29 +263,29 @@
 		}
 	}
 	if class < 0 {
-		return nil, &failure{400, "unknown class"}
+		return nil, &httpError{400, "unknown class"}
 	}
 	if len(c.head.get(headerTrace)) == 0 {
-		return nil, &failure{400, "no " + headerTrace}
+		return nil, &httpError{400, "no " + headerTrace}
 	}
 	expires, ok := parseExpires(c.head.get(headerExpires))
 	if !ok {
-		return nil, &failure{400, "missing or invalid " + headerExpires}
+		return nil, &httpError{400, "missing or invalid " + headerExpires}
 	}
-	patience := c.patience(expires)
-	call := &Call{ID: c.head.get(headerTrace), Class: class, Budget: patience, Repeat: string(c.head.get(headerRepeat)) == "1",
+	remaining := c.remainingTime(expires)
+	call := &Call{ID: c.head.get(headerTrace), Class: class, Budget: remaining, Repeat: string(c.head.get(headerRetry)) == "1",
 		Message: &request{head: &c.head, body: c.body, upload: c.upload}}
 	if c.Origins != nil {
-		call.Origin = c.Origins.origin(&c.head, path)
+		call.Origin = c.Origins.extract(&c.head, path)
 	}
 	if u := c.upload; u != nil {
-		u.expires = patience
+		u.expires = remaining
 		call.Upload = u
 	}
 	return call, nil
 }
 
-// parseExpires reads a number and a unit, m or u.
+// parseExpires parses a number followed by a unit: m for milliseconds, u for microseconds.
 func parseExpires(v []byte) (time.Duration, bool) {
 	if len(v) < 2 {
 		return 0, false
@@ -306,14 +309,14 @@
 	return time.Duration(f * float64(unit)), true
 }
 
-// tellLate logs that calls are refused for the process's own lateness.
-func (s *Server) tellLate() {
-	if held, ok := s.refused.due(time.Now()); ok {
-		s.Log.Warn("processor_short", "late", s.late.standing().Round(time.Millisecond), "more", held)
+// logOverload logs that calls are refused because of the process's scheduling delay.
+func (s *Server) logOverload() {
+	if suppressed, ok := s.overloadLog.allow(time.Now()); ok {
+		s.Log.Warn("processor_short", "late", s.overload.delay().Round(time.Millisecond), "more", suppressed)
 	}
 }
 
-// refuse answers a call that is not handed over. Nothing of it has gone to a worker.
+// refuse answers a call without passing it to the handler. No part of it has been sent to a worker.
 func (c *client) refuse(call *Call) {
 	c.Figures.answered(call.Class, Refused)
 	if c.upload != nil {
@@ -321,52 +324,52 @@
 	}
 	c.answer(Answer{Verdict: Refused, Wait: c.Advice})
 	if c.upload != nil && c.Enter(transport.Lingering) {
-		c.absorb()
+		c.discardRequest()
 	}
 }
 
-// serve hands a call over, watches meanwhile for the client's leaving, and writes the answer.
-func (c *client) serve(call *Call) {
-	c.late.begin(c.Closing)
-	defer c.late.end()
-	p := c.presence()
-	call.Left, call.Present = p.left, p.here
+// handle passes a call to the handler, watches meanwhile for the client's disconnect, and writes the answer.
+func (c *client) handle(call *Call) {
+	c.overload.callStarted(c.Closing)
+	defer c.overload.callEnded()
+	watcher := c.newDisconnectWatcher()
+	call.Left, call.Present = watcher.disconnected, watcher.isConnected
 	if c.upload == nil {
 		c.Hold()
 	}
-	go p.watch()
+	go watcher.watch()
 	answer := c.Handler.Serve(call)
-	c.checkAnswered(p)
-	c.Figures.answered(call.Class, answer.Verdict) // before it is out: whoever has it finds it counted
+	c.checkAnswered(watcher)
+	c.Figures.answered(call.Class, answer.Verdict) // before it is written: a client that has the answer finds it counted
 	if c.upload != nil {
-		c.finishUpload(p, answer)
+		c.answerUpload(watcher, answer)
 		return
 	}
-	c.closing = c.closing || p.hasLeft()
+	c.closing = c.closing || watcher.hasDisconnected()
 	c.answer(answer)
-	c.settled = time.Now()
-	p.end()
-	c.broken = c.broken || p.hasLeft()
-	c.closing = c.closing || c.broken // what it has sent ahead is not read as a request
+	c.lastAnswered = time.Now()
+	watcher.stop()
+	c.broken = c.broken || watcher.hasDisconnected()
+	c.closing = c.closing || c.broken // what the client has sent ahead is not parsed as a request
 }
 
-// finishUpload answers a call of which some may not have been read.
-func (c *client) finishUpload(p *presence, answer Answer) {
+// answerUpload answers a call whose message may not have been read completely.
+func (c *client) answerUpload(watcher *disconnectWatcher, answer Answer) {
 	err := c.upload.state()
 	if err == nil {
-		c.closing = c.last() || p.hasLeft()
+		c.closing = c.isLastCall() || watcher.hasDisconnected()
 	}
-	rejected := err != nil && err != errUnread
+	rejected := err != nil && err != errBodyNotRead
 	if rejected {
 		c.reject(err)
 	} else {
 		c.answer(answer)
 	}
 	c.upload.stop()
-	p.end()
-	c.broken = c.broken || p.hasLeft() && !rejected
+	watcher.stop()
+	c.broken = c.broken || watcher.hasDisconnected() && !rejected
 	c.closing = c.closing || c.broken
 	if err != nil && !rejected && c.Enter(transport.Lingering) {
-		c.absorb()
+		c.discardRequest()
 	}
 }
--- a/internal/protocol/time.go
+++ b/internal/protocol/time.go
@@ -8,52 +8,54 @@
 )
 
 const (
-	// stoppedOwed is what a client that stops in the middle of a request is owed at most: an error or a close, counted from
-	// its last byte, or from the answer to the request before it (the operators' terms).
-	stoppedOwed = 3 * time.Second
+	// stoppedClientLimit is the time within which a client that stops in the middle of a request must get an error
+	// or a close, counted from its last byte, or from the answer to the previous request. The operators require it.
+	stoppedClientLimit = 3 * time.Second
 
-	// lateAnswer is how long after its client's time an answer is merely worth nothing; later it counts as lost.
-	lateAnswer = 500 * time.Millisecond
+	// lostAnswerDelay is how far past the client's deadline an answer is merely worthless; a later one counts as
+	// lost.
+	lostAnswerDelay = 500 * time.Millisecond
 )
 
-// patience is what is left of a client's time, which began with its request's last byte. That may have waited in the kernel
-// and, behind an open request, in this connection's buffer; the end of the process may come before it.
-func (c *client) patience(expires time.Duration) time.Duration {
-	left := max(expires-answerMargin-c.late.standing(), 0)
-	c.due = time.Time{}
+// remainingTime returns what is left of the client's time, which started with the last byte of its request. That byte may
+// have waited in the kernel and, behind an open request, in this connection's buffer. The process may end before the time
+// is up.
+func (c *client) remainingTime(expires time.Duration) time.Duration {
+	remaining := max(expires-answerMargin-c.overload.delay(), 0)
+	c.deadline = time.Time{}
 	if c.upload == nil {
-		arrived := c.in.arrived(c.r)
-		c.due = arrived.Add(expires)
-		left -= time.Since(arrived)
+		arrived := c.source.arrivalTime(c.r)
+		c.deadline = arrived.Add(expires)
+		remaining -= time.Since(arrived)
 	}
 	if end := c.End(); !end.IsZero() {
-		left = min(left, time.Until(end)-answerMargin)
+		remaining = min(remaining, time.Until(end)-answerMargin)
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
-// waited tells that a request has waited here for a part of its client's time.
-func (c *client) waited() bool {
-	return c.late.standing() > 0 || c.upload == nil && time.Since(c.in.arrived(c.r)) > answerMargin
+// wasDelayed reports whether a request has waited in this process for part of its client's time.
+func (c *client) wasDelayed() bool {
+	return c.overload.delay() > 0 || c.upload == nil && time.Since(c.source.arrivalTime(c.r)) > answerMargin
 }
 
-// checkStopped checks that a client which has stopped within a request is ended in time.
+// checkStopped checks the invariant that a client which stops within a request gets an end in time.
 func (c *client) checkStopped(err error) {
 	if !isTimeout(err) {
 		return
 	}
-	stopped := transport.Latest(c.LastByte(), c.settled)
-	if since := time.Since(stopped); since > stoppedOwed {
-		c.Invariants.Broken(invariant.StoppedClientEnded, string(c.head.get(headerTrace)), "stage", c.stage, "since_last_byte", since)
+	stopped := transport.Latest(c.LastByte(), c.lastAnswered)
+	if since := time.Since(stopped); since > stoppedClientLimit {
+		c.Invariants.Broken(invariant.StoppedClientEnded, string(c.head.get(headerTrace)), "stage", c.readStage, "since_last_byte", since)
 	}
 }
 
-// checkAnswered checks that a request has its answer in its client's time.
-func (c *client) checkAnswered(p *presence) {
-	if c.due.IsZero() {
+// checkAnswered checks the invariant that a request is answered before its client's deadline.
+func (c *client) checkAnswered(watcher *disconnectWatcher) {
+	if c.deadline.IsZero() {
 		return
 	}
-	if late := time.Since(c.due); late > lateAnswer && !p.hasLeft() {
+	if late := time.Since(c.deadline); late > lostAnswerDelay && !watcher.hasDisconnected() {
 		c.Invariants.Broken(invariant.AnsweredInTime, string(c.head.get(headerTrace)), "late", late)
 	}
 }
--- a/internal/protocol/traces.go
+++ b/internal/protocol/traces.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// traces remembers the ids of the requests that are open, and of those answered of late. An id is fresh on every request;
-// one that comes again is another client's, and passing it on would be a second copy of that client's request. It is safe for
-// concurrent use.
-type traces struct {
-	mu      sync.Mutex
-	seed    maphash.Seed
-	open    map[uint64]struct{} // hashes of the ids of requests without an answer, however long that takes
-	turned  time.Time
-	of, old map[uint64]struct{} // hashes of the ids answered since turned, and of those before
+// recentIDs remembers the IDs of requests that are open or were answered recently. Every request has a new ID; an ID that
+// is seen again belongs to another client, and forwarding it would send a second copy of that client's request. It is safe
+// for concurrent use.
+type recentIDs struct {
+	mu                sync.Mutex
+	seed              maphash.Seed
+	open              map[uint64]struct{} // hashes of the IDs of unanswered requests, however long they take
+	rotated           time.Time
+	current, previous map[uint64]struct{} // hashes of the IDs answered since rotated, and in the period before
 }
 
 const (
-	// traceMemory is the least time for which the id of an answered request is remembered. It is longer where the
-	// deadlines of the settings are: an attempt that was given up may still run, and its client may come again, until then.
-	traceMemory = 4 * time.Second
+	// minIDRetention is the minimum time for which the ID of an answered request is remembered. The time is longer if
+	// the configured deadlines are: until then an abandoned attempt may still run, and its client may retry.
+	minIDRetention = 4 * time.Second
 
-	// mostTraces bounds the ids remembered of answered requests between two turns. Past it they are forgotten earlier.
-	mostTraces = 1 << 16
+	// maxIDsPerPeriod bounds the IDs of answered requests remembered between two rotations. Beyond it they are
+	// forgotten earlier.
+	maxIDsPerPeriod = 1 << 16
 )
 
-// take tells whether an id is new, and remembers it until end. longest is the settings' longest deadline.
-func (t *traces) take(id []byte, now time.Time, longest time.Duration) bool {
+// tryAdd reports whether an ID is new, and remembers it until finish. maxDeadline is the longest configured deadline.
+func (t *recentIDs) tryAdd(id []byte, now time.Time, maxDeadline time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.open == nil {
 		t.seed = maphash.MakeSeed()
 		t.open = map[uint64]struct{}{}
 	}
-	t.turn(now, max(longest, traceMemory))
+	t.rotate(now, max(maxDeadline, minIDRetention))
 	hash := maphash.Bytes(t.seed, id)
 	_, open := t.open[hash]
-	_, recent := t.of[hash]
-	_, before := t.old[hash]
+	_, recent := t.current[hash]
+	_, before := t.previous[hash]
 	if open || recent || before {
 		return false
 	}
@@ -46,47 +47,47 @@
 	return true
 }
 
-// end notes that the request of an id that was taken is over. Its id is remembered for at least longest and traceMemory
-// from now on.
-func (t *traces) end(id []byte, now time.Time, longest time.Duration) {
+// finish records that the request with an added ID has been answered. The ID is remembered for at least maxDeadline and
+// minIDRetention from now on.
+func (t *recentIDs) finish(id []byte, now time.Time, maxDeadline time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	hash := maphash.Bytes(t.seed, id)
 	delete(t.open, hash)
-	t.turn(now, max(longest, traceMemory))
-	t.of[hash] = struct{}{}
+	t.rotate(now, max(maxDeadline, minIDRetention))
+	t.current[hash] = struct{}{}
 }
 
-// turn lets go of the ids that have been remembered for long enough. It is called under the lock.
-func (t *traces) turn(now time.Time, memory time.Duration) {
-	age := now.Sub(t.turned)
-	if t.of != nil && age < memory && len(t.of) < mostTraces {
+// rotate drops the IDs that have been remembered for long enough. It must be called with the lock held.
+func (t *recentIDs) rotate(now time.Time, retention time.Duration) {
+	age := now.Sub(t.rotated)
+	if t.current != nil && age < retention && len(t.current) < maxIDsPerPeriod {
 		return
 	}
-	if age >= 2*memory {
-		t.of = nil
+	if age >= 2*retention {
+		t.current = nil
 	}
-	t.of, t.old, t.turned = map[uint64]struct{}{}, t.of, now
+	t.current, t.previous, t.rotated = map[uint64]struct{}{}, t.current, now
 }
 
-// tally thins out a log line that others can bring about as often as they like.
-type tally struct {
-	mu   sync.Mutex
-	last time.Time
-	held int
+// logLimiter limits the rate of a log line that clients can trigger as often as they like.
+type logLimiter struct {
+	mu         sync.Mutex
+	last       time.Time
+	suppressed int
 }
 
-// tallyPace is the least time between two lines.
-const tallyPace = time.Second
+// logInterval is the minimum time between two lines.
+const logInterval = time.Second
 
-// due tells whether a line may be written now, and how many were held back before it.
-func (t *tally) due(now time.Time) (held int, ok bool) {
+// allow reports whether a line may be logged now, and how many lines were suppressed before it.
+func (t *logLimiter) allow(now time.Time) (suppressed int, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.last) < tallyPace {
-		t.held++
+	if now.Sub(t.last) < logInterval {
+		t.suppressed++
 		return 0, false
 	}
-	held, t.held, t.last = t.held, 0, now
-	return held, true
+	suppressed, t.suppressed, t.last = t.suppressed, 0, now
+	return suppressed, true
 }
--- a/internal/protocol/upload.go
+++ b/internal/protocol/upload.go
@@ -12,79 +12,79 @@
 	"burlpass/internal/transport"
 )
 
-// Pace of long messages. A client may send its body at 64 kB a second; half of that is still let through.
+// Limits on long messages. A client may send its body at 64 kB per second; half of that is still accepted.
 const (
-	maxWindow  = 16 << 10         // bytes of a long message that are held, to go out again where that is lawful
-	bodyTime   = 2 * time.Second  // for a body, beside what its length takes
-	bodyPace   = 32 << 10         // bytes a second
-	pieceSize  = 16 << 10         // bytes of an upload on their way
-	relaySize  = 32 << 10         // bytes of an answer on their way
-	relayTime  = 10 * time.Second // for a client to take one piece of an answer
-	relayStall = stallTime        // for a worker that stops within an answer, where its client's time is over
+	bodyWindow        = 16 << 10         // bytes of a long message that are kept, to be sent again where a retry is allowed
+	bodyBaseTimeout   = 2 * time.Second  // for a body, in addition to the time for its length
+	minBodyRate       = 32 << 10         // bytes per second
+	uploadBufferSize  = 16 << 10         // bytes of a request body in transit
+	relayBufferSize   = 32 << 10         // bytes of a reply in transit
+	relayWriteTimeout = 10 * time.Second // for a client to accept one piece of a reply
+	relayStallTimeout = stallTimeout     // for a worker that stalls within a reply after its client's deadline
 )
 
-// bodyLimit is the time in which n bytes of a body have to come.
-func bodyLimit(n int64) time.Duration {
-	return bodyTime + time.Duration(n)*time.Second/bodyPace
+// bodyTimeout returns the time within which n bytes of a body have to arrive.
+func bodyTimeout(n int64) time.Duration {
+	return bodyBaseTimeout + time.Duration(n)*time.Second/minBodyRate
 }
 
-// upload is the rest of a client's long message. A worker's goroutine reads it, once; the client's own goroutine waits
-// for that one's end before it reads on.
+// upload is the rest of a client's long message. The goroutine of a worker's connection reads it, once; the client's own
+// goroutine waits until that has finished before it continues reading.
 type upload struct {
-	framed  framed
-	conn    *transport.Client
-	expires time.Duration // the client's patience from the last byte on
-	waited  time.Duration // for the client, since the body began; what a slow worker takes is not the client's
-	got     int64         // bytes of it so far
-
-	mu      sync.Mutex
-	since   time.Time     // when the last byte had certainly not come yet
-	taken   bool          // an attempt reads it, or has
-	stopped bool          // no further read may begin
-	whole   chan struct{} // closed when the last byte has come
-	failed  chan struct{} // closed where the client has broken off, stalled or sent garbage
-	ended   chan struct{} // closed when nobody reads any more
-	err     error         // why it failed
+	body     bodyReader
+	conn     *transport.Client
+	expires  time.Duration // how long the client waits after its last byte
+	waited   time.Duration // time spent waiting for the client since the body began; delays caused by a slow worker are not the client's
+	received int64         // bytes of the body so far
+
+	mu           sync.Mutex
+	incompleteAt time.Time     // latest time at which the last byte had certainly not arrived
+	started      bool          // an attempt reads or has read it
+	stopped      bool          // no further read may begin
+	complete     chan struct{} // closed when the last byte has arrived
+	failed       chan struct{} // closed when the client has disconnected, stalled or sent invalid data
+	readerDone   chan struct{} // closed when reading has ended
+	err          error         // why it failed
 }
 
-func newUpload(f framed, conn *transport.Client, waited time.Duration, got int64, expires time.Duration) *upload {
-	return &upload{framed: f, conn: conn, waited: waited, got: got, expires: expires, since: time.Now().Add(-waited),
-		whole: make(chan struct{}), failed: make(chan struct{}), ended: make(chan struct{})}
+func newUpload(body bodyReader, conn *transport.Client, waited time.Duration, received int64, expires time.Duration) *upload {
+	return &upload{body: body, conn: conn, waited: waited, received: received, expires: expires, incompleteAt: time.Now().Add(-waited),
+		complete: make(chan struct{}), failed: make(chan struct{}), readerDone: make(chan struct{})}
 }
 
-// Whole is closed when the last byte has come from the client.
-func (u *upload) Whole() <-chan struct{} { return u.whole }
+// Whole is closed when the client's last byte has arrived.
+func (u *upload) Whole() <-chan struct{} { return u.complete }
 
-// End is when the client gives up, should all that is still to come have come already without having been read. A worker
-// that takes a message slowly must not hide its end from us.
+// End returns when the client gives up if all that is missing has arrived without having been read. A worker that accepts a
+// message slowly must not hide the end of the message from the sidecar.
 func (u *upload) End() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.since.Add(u.expires)
+	return u.incompleteAt.Add(u.expires)
 }
 
-// Begun tells that some of it has been read.
+// Begun reports whether part of the message has been read.
 func (u *upload) Begun() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.taken
+	return u.started
 }
 
-// pass hands the message on, piece by piece, as the client sends it.
-func (u *upload) pass(write transport.Write) error {
+// stream forwards the message piece by piece as the client sends it.
+func (u *upload) stream(write transport.Write) error {
 	u.mu.Lock()
-	if u.taken || u.stopped {
+	if u.started || u.stopped {
 		u.mu.Unlock()
-		return fmt.Errorf("%w: it has been read before", transport.ErrSource)
+		return fmt.Errorf("%w: the body has already been read", transport.ErrSource)
 	}
-	u.taken = true
+	u.started = true
 	u.mu.Unlock()
-	defer close(u.ended)
-	buf := make([]byte, pieceSize)
+	defer close(u.readerDone)
+	buf := make([]byte, uploadBufferSize)
 	for {
 		n, err := u.read(buf)
-		if err == io.EOF && u.framed.chunked { // only the end of its framing is left to write
-			close(u.whole)
+		if err == io.EOF && u.body.chunked { // only the end of the chunked encoding is left to write
+			close(u.complete)
 			return write(net.Buffers{[]byte("0\r\n\r\n")}, true)
 		}
 		if err != nil {
@@ -96,11 +96,11 @@
 			continue
 		}
 		piece := net.Buffers{buf[:n]}
-		if u.framed.chunked {
-			piece = chunk(buf[:n])
+		if u.body.chunked {
+			piece = encodeChunk(buf[:n])
 		}
-		if u.framed.over {
-			close(u.whole)
+		if u.body.done {
+			close(u.complete)
 			return write(piece, true)
 		}
 		if err := write(piece, false); err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// read reads a piece within its pace.
+// read reads one piece within the time allowed for it.
 func (u *upload) read(buf []byte) (int, error) {
 	u.mu.Lock()
 	if u.stopped {
@@ -117,31 +117,31 @@
 		return 0, net.ErrClosed
 	}
 	begun := time.Now()
-	if u.framed.r.Buffered() == 0 && u.conn.Quiet() {
-		u.since = begun
+	if u.body.r.Buffered() == 0 && u.conn.Quiet() {
+		u.incompleteAt = begun
 	}
-	u.conn.Receive(transport.Stage{Stall: stallTime, Until: begun.Add(bodyLimit(u.got+int64(len(buf))) - u.waited), Taken: true})
+	u.conn.Receive(transport.Stage{Stall: stallTimeout, Until: begun.Add(bodyTimeout(u.received+int64(len(buf))) - u.waited), Taken: true})
 	u.mu.Unlock()
-	n, err := u.framed.Read(buf)
-	u.got += int64(n)
+	n, err := u.body.Read(buf)
+	u.received += int64(n)
 	u.waited += time.Since(begun)
 	if n > 0 {
-		err = nil // an error comes again
+		err = nil // the error is returned again by the next read
 	}
 	return n, err
 }
 
-// await waits for the end of the message. It returns true once that has come, been passed on, and the connection is free
-// to be watched. It returns an error where the client has failed, and false once done is closed.
-func (u *upload) await(done <-chan struct{}) (bool, error) {
+// awaitComplete waits for the end of the message. It returns true once the end has arrived and been forwarded and the
+// connection may be watched, an error if the client has failed, and false once done is closed.
+func (u *upload) awaitComplete(done <-chan struct{}) (bool, error) {
 	select {
-	case <-u.whole:
+	case <-u.complete:
 	case <-u.failed:
 		return false, u.err
 	case <-done:
 		return false, nil
 	}
-	<-u.ended
+	<-u.readerDone
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.stopped {
@@ -150,35 +150,36 @@
 	return !u.stopped, nil
 }
 
-// errUnread says that some of a message has not been read.
-var errUnread = errors.New("not read to its end")
+// errBodyNotRead means that part of a message has not been read.
+var errBodyNotRead = errors.New("request body not completely read")
 
-// state is nil where the message has come whole, errUnread where it has not, and else what it failed with.
+// state returns nil if the message has been received completely, errBodyNotRead if it has not, and otherwise the error with
+// which it failed.
 func (u *upload) state() error {
 	select {
-	case <-u.whole:
+	case <-u.complete:
 		return nil
 	case <-u.failed:
 		return u.err
 	default:
-		return errUnread
+		return errBodyNotRead
 	}
 }
 
-// stop ends the reading, and returns when nobody reads any more.
+// stop ends reading, and returns when no goroutine reads any more.
 func (u *upload) stop() {
 	u.mu.Lock()
 	u.stopped = true
-	taken := u.taken
+	started := u.started
 	u.conn.Wake()
 	u.mu.Unlock()
-	if taken {
-		<-u.ended
+	if started {
+		<-u.readerDone
 	}
 }
 
-// chunk frames a piece as a chunk.
-func chunk(b []byte) net.Buffers {
+// encodeChunk encodes b as one chunk.
+func encodeChunk(b []byte) net.Buffers {
 	if len(b) == 0 {
 		return nil
 	}
