--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -192,9 +192,9 @@
 	allowance  int64 // bytes that further chunks, or the rest of a body that extends to the connection's end, may contain
 }
 
-// newBodyReader returns a reader for the body that follows a head. A body of unknown length is limited to limit bytes. A
+// body returns a reader for the body that follows a head. A body of unknown length is limited to limit bytes. A
 // message with neither a length nor chunks has no body, unless untilClose says that it extends to the end of the connection.
-func (h *head) newBodyReader(r *bufio.Reader, untilClose bool, limit int64) bodyReader {
+func (h *head) body(r *bufio.Reader, untilClose bool, limit int64) bodyReader {
 	untilClose = untilClose && !h.chunked && h.length < 0
 	return bodyReader{r: r, remaining: max(h.length, 0), chunked: h.chunked, untilClose: untilClose, allowance: limit,
 		done: !h.chunked && !untilClose && h.length <= 0}
@@ -292,7 +292,7 @@
 	if h.length > int64(limit) {
 		return dst, ErrBodyTooBig
 	}
-	body := h.newBodyReader(r, false, int64(limit))
+	body := h.body(r, false, int64(limit))
 	return body.readUpTo(dst, limit+1)
 }
 
--- a/internal/protocol/lateness.go
+++ b/internal/protocol/lateness.go
@@ -43,15 +43,15 @@
 	refusalCredit []float64     // fractional refusals due, by class; whole ones have been made
 }
 
-// callStarted counts a call as open. Once enough calls are open, a goroutine samples the delay until there is no load left
+// begin counts a call as open. Once enough calls are open, a goroutine samples the delay until there is no load left
 // or ctx is done.
-func (d *overloadDetector) callStarted(ctx context.Context) {
+func (d *overloadDetector) begin(ctx context.Context) {
 	if d.openCalls.Add(1) >= minOpenCalls && d.sampling.CompareAndSwap(false, true) {
 		go d.sampleLoop(ctx)
 	}
 }
 
-func (d *overloadDetector) callEnded() { d.openCalls.Add(-1) }
+func (d *overloadDetector) end() { d.openCalls.Add(-1) }
 
 func (d *overloadDetector) sampleLoop(ctx context.Context) {
 	for ctx.Err() == nil && (d.openCalls.Load() >= minOpenCalls || d.refusing.Load()) {
--- a/internal/protocol/presence.go
+++ b/internal/protocol/presence.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// watch checks the connection whenever the client sends something, until stop.
+// watch checks the connection whenever the client sends something, until end.
 func (w *disconnectWatcher) watch() {
 	defer close(w.stopped)
 	if u := w.client.upload; u != nil {
@@ -173,8 +173,8 @@
 	return w.gone
 }
 
-// stop ends watching, and returns when only the caller reads from the connection.
-func (w *disconnectWatcher) stop() {
+// end stops watching, and returns when only the caller reads from the connection.
+func (w *disconnectWatcher) end() {
 	w.mu.Lock()
 	w.answered = true
 	w.mu.Unlock()
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -230,7 +230,7 @@
 			wire.WriteString("Trailer: x\r\n\r\nnext")
 			check := func(name string, from io.Reader, h head) {
 				r := bufio.NewReaderSize(from, maxHeadBytes)
-				f := h.newBodyReader(r, false, MaxBody)
+				f := h.body(r, false, MaxBody)
 				buffered, err := f.readUpTo(nil, bodyWindow)
 				if len(buffered) != min(n, bodyWindow) || err != nil {
 					t.Fatalf("%s, %d in %d: buffered %d, %v", name, n, size, len(buffered), err)
@@ -267,7 +267,7 @@
 		"waited for long by its worker": {received: 1 << 20, ok: true},
 	} {
 		server, client := newClientPair(t)
-		u := newUpload((&head{length: 64 << 20}).newBodyReader(server.r, false, MaxBody), server.Client, c.waited, c.received, time.Second)
+		u := newUpload((&head{length: 64 << 20}).body(server.r, false, MaxBody), server.Client, c.waited, c.received, time.Second)
 		if c.ok { // buffered data is read, however late
 			client.Write([]byte("more"))
 		}
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -220,7 +220,7 @@
 
 // readWindow reads a short body, or the beginning of a long one.
 func (c *client) readWindow() (err error) {
-	body := c.head.newBodyReader(c.r, false, MaxBody)
+	body := c.head.body(c.r, false, MaxBody)
 	c.upload, c.body = nil, c.body[:0]
 	if body.done {
 		return nil
@@ -330,8 +330,8 @@
 
 // handle passes a call to the handler, watches meanwhile for the client's disconnect, and writes the answer.
 func (c *client) handle(call *Call) {
-	c.overload.callStarted(c.Closing)
-	defer c.overload.callEnded()
+	c.overload.begin(c.Closing)
+	defer c.overload.end()
 	watcher := c.newDisconnectWatcher()
 	call.Left, call.Present = watcher.disconnected, watcher.isConnected
 	if c.upload == nil {
@@ -348,7 +348,7 @@
 	c.closing = c.closing || watcher.hasDisconnected()
 	c.answer(answer)
 	c.lastAnswered = time.Now()
-	watcher.stop()
+	watcher.end()
 	c.broken = c.broken || watcher.hasDisconnected()
 	c.closing = c.closing || c.broken // what the client has sent ahead is not parsed as a request
 }
@@ -366,7 +366,7 @@
 		c.answer(answer)
 	}
 	c.upload.stop()
-	watcher.stop()
+	watcher.end()
 	c.broken = c.broken || watcher.hasDisconnected() && !rejected
 	c.closing = c.closing || c.broken
 	if err != nil && !rejected && c.Enter(transport.Lingering) {
--- a/internal/protocol/unbounded_reply_test.go
+++ b/internal/protocol/unbounded_reply_test.go
@@ -67,7 +67,7 @@
 func TestUnboundedTinyChunks(t *testing.T) {
 	const most = 1000
 	r := bufio.NewReader(&endlessReader{prefix: strings.NewReader(""), repeated: "1\r\na\r\n"})
-	body := (&head{chunked: true}).newBodyReader(r, true, most)
+	body := (&head{chunked: true}).body(r, true, most)
 	if b, err := body.readUpTo(nil, maxBufferedBody); err != ErrBodyTooBig || len(b) != most {
 		t.Errorf("%v after %d bytes", err, len(b))
 	}
--- a/internal/protocol/upload.go
+++ b/internal/protocol/upload.go
@@ -47,8 +47,8 @@
 	err          error         // why it failed
 }
 
-func newUpload(body bodyReader, conn *transport.Client, waited time.Duration, received int64, expires time.Duration) *upload {
-	return &upload{body: body, conn: conn, waited: waited, received: received, expires: expires, incompleteAt: time.Now().Add(-waited),
+func newUpload(rest bodyReader, conn *transport.Client, waited time.Duration, received int64, expires time.Duration) *upload {
+	return &upload{body: rest, conn: conn, waited: waited, received: received, expires: expires, incompleteAt: time.Now().Add(-waited),
 		complete: make(chan struct{}), failed: make(chan struct{}), readerDone: make(chan struct{})}
 }
 
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -166,7 +166,7 @@
 		if h.length > MaxBody {
 			return false, ErrBodyTooBig
 		}
-		body := h.newBodyReader(r, true, MaxBody)
+		body := h.body(r, true, MaxBody)
 		limit := maxBufferedBody
 		switch {
 		case h.length > maxBufferedBody && reply.Kind != ReplyServed: // a long body of an error is of no use
