--- /dev/null
+++ b/internal/protocol/disconnect_test.go
@@ -0,0 +1,74 @@
+package protocol
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"burlpass/internal/transport"
+)
+
+// newClientPair returns a client's connection and its remote end.
+func newClientPair(t *testing.T) (*client, net.Conn) {
+	t.Helper()
+	l, err := transport.Listen(transport.System{}, "127.0.0.1:0", 4, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	served, done := make(chan *transport.Client), make(chan struct{})
+	go l.Accept(func(c *transport.Client) { served <- c; <-done }, nil)
+	peer, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { peer.Close(); close(done); l.Close(); l.Wait() })
+	c := &client{Client: <-served}
+	c.source.conn = c.Client
+	c.smallReader = bufio.NewReaderSize(&c.source, maxHeadBytes)
+	c.r = c.smallReader
+	return c, peer
+}
+
+// The check right before an attempt's first byte must see a disconnect that the kernel knows of, even if the watching
+// goroutine has not run since; here none is running. Data that was sent before the disconnect makes no difference.
+func TestDisconnectSeenBeforeFirstByte(t *testing.T) {
+	for name, sentAhead := range map[string]int{"nothing": 0, "a byte": 1, "a head": maxHeadBytes, "more than a head": maxHeadBytes + 1,
+		"a full buffer": maxReadAhead, "more than a full buffer": 3 * maxReadAhead} {
+		for how, end := range map[string]func(*net.TCPConn){
+			"closes":     func(peer *net.TCPConn) { peer.Close() },
+			"resets":     func(peer *net.TCPConn) { peer.SetLinger(0); peer.Close() },
+			"ends write": func(peer *net.TCPConn) { peer.CloseWrite() },
+		} {
+			t.Run(how+" after "+name, func(t *testing.T) {
+				c, peer := newClientPair(t)
+				watcher := c.newDisconnectWatcher()
+				if !watcher.isConnected() {
+					t.Fatal("reported as disconnected while connected")
+				}
+				if _, err := io.WriteString(peer, strings.Repeat("x", sentAhead)); err != nil {
+					t.Fatal(err)
+				}
+				for c.Pending() != transport.Bytes && sentAhead > 0 {
+				}
+				if sentAhead <= maxHeadBytes && !watcher.isConnected() {
+					t.Fatal("reported as disconnected while connected")
+				}
+				end(peer.(*net.TCPConn))
+				for c.Pending() == transport.Nothing { // loopback delivers it at once
+				}
+				for c.Pending() == transport.Bytes && watcher.isConnected() { // as the watching goroutine would
+				}
+				if watcher.isConnected() {
+					t.Error("still reported as connected")
+				}
+				select {
+				case <-watcher.disconnected:
+				default:
+					t.Error("disconnected is not closed")
+				}
+			})
+		}
+	}
+}
