--- a/internal/clustertest/mutants/limits.go
+++ b/internal/clustertest/mutants/limits.go
@@ -17,7 +17,7 @@
 		edit(book, "	if kind == Calls {\n		return keep(MostTail)\n	}\n	return keep(0)\n", "	if kind == Calls {\n		return 0\n	}\n	return 0\n"))
 	forgot.Plan = endedLeaders
 	order := mutant("merge-by-order", "what rules make depends on the order in which they came", []h.Promise{h.SameTable},
-		edit(state, "		s.sum[i] += lane\n", "		s.sum[i] = s.sum[i]*31 + lane\n"))
+		edit(state, "		state.digest[i] += lane\n", "		state.digest[i] = state.digest[i]*31 + lane\n"))
 	order.Plan = startedObservers
 	return []Mutant{late, forgot, order}
 }
--- a/internal/rules/around.go
+++ b/internal/rules/around.go
@@ -2,69 +2,71 @@
 
 import "burlpass/internal/record"
 
-// around looks for what changes to rules and decisions alone can bring about, in a state that had no conflict before.
-func (f *finder) around(was *State, changes []record.Change) {
-	meet := map[string]bool{} // the rules that change, and those about which a decision does
+// findAffected reports the conflicts that changes to rules and decisions alone can cause. The state before the
+// write must have had no conflict.
+func (f *conflictFinder) findAffected(before *State, changes []record.Change) {
+	affected := map[string]bool{} // keys of changed rules, and of rules whose decision changed
 	for _, ch := range changes {
 		if ch.Kind == RuleKind {
-			meet[ch.Key] = true
+			affected[ch.Key] = true
 			continue
 		}
-		for _, s := range []*State{was, f.s} {
-			if d, ok := get[*Decision](s, DecisionKind, ch.Key); ok {
-				meet[d.A], meet[d.B] = true, true
+		for _, s := range []*State{before, f.state} {
+			if d, ok := lookupValue[*Decision](s, DecisionKind, ch.Key); ok {
+				affected[d.A], affected[d.B] = true, true
 			}
 		}
 	}
-	for key := range meet {
+	for key := range affected {
 		k, err := ParseRuleKey(key)
-		n := f.s.nodes[k.In.String()]
+		n := f.state.nodes[k.In.String()]
 		if err != nil || n == nil {
 			continue
 		}
-		i := k.Setting.number()
-		for _, m := range f.s.order[n.in:n.out] { // a bound or a limit that changes is met by what is below
-			for _, r := range f.s.held[m.in][i] {
-				f.alone(m, r)
+		i := k.Setting.index()
+		for _, m := range f.state.preorder[n.start:n.end] { // a changed bound or limit affects the rules below it
+			for _, r := range f.state.rulesByNode[m.start][i] {
+				f.checkRule(m, r)
 			}
 		}
 	}
-	grounds := map[string]bool{}
-	for key := range meet { // also by a decision between two limits
+	affectedLimits := map[string]bool{}
+	for key := range affected { // a decision between two limits affects their shares too
 		k, err := ParseRuleKey(key)
-		n := f.s.nodes[k.In.String()]
+		n := f.state.nodes[k.In.String()]
 		if err != nil || n == nil {
 			continue
 		}
-		for _, r := range f.s.held[n.in][k.Setting.number()] {
-			grounds[r.Key] = true
+		for _, r := range f.state.rulesByNode[n.start][k.Setting.index()] {
+			affectedLimits[r.Key] = true
 		}
-		if g := f.s.ground(n, k.Setting.number()); g != nil {
-			grounds[g.Key] = true
+		if limit := f.state.parentLimit(n, k.Setting.index()); limit != nil {
+			affectedLimits[limit.Key] = true
 		}
 	}
-	if len(grounds) > 0 {
-		f.shares(grounds)
+	if len(affectedLimits) > 0 {
+		f.checkShares(affectedLimits)
 	}
-	for key := range meet {
-		r, ok := get[*rule](f.s, RuleKind, key)
-		if !ok || f.s.node(r) == nil {
+	for key := range affected {
+		r, ok := lookupValue[*rule](f.state, RuleKind, key)
+		if !ok || f.state.ruleNode(r) == nil {
 			continue
 		}
-		n := f.s.node(r)
-		f.alone(n, r)
-		for _, q := range f.s.held[n.in][r.Setting.number()] {
-			f.alone(n, q)
+		n := f.state.ruleNode(r)
+		f.checkRule(n, r)
+		for _, q := range f.state.rulesByNode[n.start][r.Setting.index()] {
+			f.checkRule(n, q)
 		}
-		for _, m := range f.s.order {
-			if at := f.s.held[m.in][r.Setting.number()]; len(at) > 0 && m != n && !m.above(n) && !n.above(m) {
-				if _, both := n.Meet(m.Selector); both {
-					for _, q := range at {
-						f.peer(r, q)
+		for _, m := range f.state.preorder {
+			if rulesThere := f.state.rulesByNode[m.start][r.Setting.index()]; len(rulesThere) > 0 &&
+				m != n && !m.isAncestorOf(n) && !n.isAncestorOf(m) {
+				if _, overlap := n.Meet(m.Selector); overlap {
+					for _, q := range rulesThere {
+						f.checkPeerRules(r, q)
 					}
 				}
 			}
 		}
 	}
-	f.circles(meet)
+	f.findDecisionCycles(affected)
 }
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -39,7 +39,7 @@
 						r.Value = Value{N: ptr(0)}
 					case p == 0 && s < 5:
 						r.Mode = Bound
-					case p > 0 && set.limit():
+					case p > 0 && set.isFleetLimit():
 						r.Value = Value{Share: ptr(100)}
 					}
 					add(RuleKind, in+"#"+string(set)+"#r", r)
@@ -54,8 +54,8 @@
 func BenchmarkCompile(b *testing.B) {
 	items := big()
 	s := mustMerge(b, items)
-	if c := s.Conflicts(Env{}); len(c) > 0 || len(all[*rule](s, RuleKind)) != 10_000 {
-		b.Fatal(len(c), len(all[*rule](s, RuleKind)))
+	if c := s.Conflicts(Env{}); len(c) > 0 || len(valuesOf[*rule](s, RuleKind)) != 10_000 {
+		b.Fatal(len(c), len(valuesOf[*rule](s, RuleKind)))
 	}
 	b.Run("from-bytes", func(b *testing.B) {
 		for b.Loop() {
@@ -109,8 +109,8 @@
 		w := &record.Write{By: "team3-7", Changes: []record.Change{{Kind: RuleKind, Key: "island3/*/class7/v1/path2#attempts#r", Value: now}}}
 		for b.Loop() {
 			will, _ := s.With(w.Changes, 9)
-			f := &finder{s: will, was: s, found: map[string]Conflict{}}
-			if f.around(s, w.Changes); len(f.found) > 0 {
+			f := &conflictFinder{state: will, before: s, conflicts: map[string]Conflict{}}
+			if f.findAffected(s, w.Changes); len(f.conflicts) > 0 {
 				b.Fatal(f.sorted())
 			}
 		}
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -10,13 +10,16 @@
 	"burlpass/internal/record"
 )
 
-// Answer is what a write of rules meets. It may take effect if it has neither.
+// Answer is the result of checking a write of rules. The write is accepted if there are no faults and no conflicts.
+//
+// The texts of faults and conflicts become part of the results that the record stores and hashes, so all voters
+// have to produce the same ones.
 type Answer struct {
-	Faults    []string   `json:"faults,omitempty"`    // of the write itself, each with its place
-	Conflicts []Conflict `json:"conflicts,omitempty"` // with what is in force, or among its own changes
+	Faults    []string   `json:"faults,omitempty"`    // errors in the write itself, each with its location
+	Conflicts []Conflict `json:"conflicts,omitempty"` // with the current items, or among the changes of the write
 }
 
-// Err is the first thing that is wrong, nil for nothing.
+// Err returns the first fault, else the first conflict, else nil.
 func (a Answer) Err() error {
 	if len(a.Faults) > 0 {
 		return fmt.Errorf("%s", a.Faults[0])
@@ -27,165 +30,172 @@
 	return nil
 }
 
-// checker holds a write against the states before and after it.
+// checker validates a write against the states before and after it.
 type checker struct {
-	was, will *State
-	w         *record.Write
-	team      string // that writes
-	changed   []record.Change
-	faults    []string
+	before, after *State
+	write         *record.Write
+	team          string // the team that makes the write
+	changes       []record.Change
+	faults        []string
 }
 
-// Check says what stands against a write, whose values are canonical. It is a function of the state, the write and env. will is
-// was.With(w.Changes). Faults come first: with any, conflicts are not looked for.
-func Check(was, will *State, w *record.Write, env Env) Answer {
-	c := &checker{was: was, will: will, w: w}
-	c.team, _, _ = strings.Cut(w.By, "/")
-	for _, ch := range w.Changes {
-		if slices.Contains(Kinds(), ch.Kind) {
-			c.changed = append(c.changed, ch)
+// Check returns the faults and conflicts of a write whose values are canonical. after must be
+// before.With(write.Changes). The answer depends on the states, the write and env only. If there are faults,
+// conflicts are not searched for.
+func Check(before, after *State, write *record.Write, env Env) Answer {
+	c := &checker{before: before, after: after, write: write}
+	c.team, _, _ = strings.Cut(write.By, "/")
+	for _, change := range write.Changes {
+		if slices.Contains(Kinds(), change.Kind) {
+			c.changes = append(c.changes, change)
 		}
 	}
-	c.structure()
-	for i, ch := range c.changed {
-		if why := c.change(ch); why != "" {
-			c.faults = append(c.faults, fmt.Sprintf("changes[%d]: %s %s: %s", i, ch.Kind, ch.Key, why))
+	c.checkStructure()
+	for i, change := range c.changes {
+		if fault := c.checkChange(change); fault != "" {
+			c.faults = append(c.faults, fmt.Sprintf("changes[%d]: %s %s: %s", i, change.Kind, change.Key, fault))
 		}
 	}
 	if len(c.faults) > 0 {
 		return Answer{Faults: c.faults}
 	}
-	f := &finder{s: will, was: was, env: env, found: map[string]Conflict{}}
-	if c.narrow() {
-		f.around(was, c.changed)
+	f := &conflictFinder{state: after, before: before, env: env, conflicts: map[string]Conflict{}}
+	if c.changesOnlyRules() {
+		f.findAffected(before, c.changes)
 	} else {
-		f.everything()
+		f.findAll()
 	}
-	out := f.sorted()
-	for i := range out {
-		out[i].Together = c.together(&out[i])
+	conflicts := f.sorted()
+	for i := range conflicts {
+		conflicts[i].Together = c.isConcurrent(&conflicts[i])
 	}
-	return Answer{Conflicts: out}
+	return Answer{Conflicts: conflicts}
 }
 
-// narrow tells whether only rules and decisions change, so that the tree and who has what stay as they are.
-func (c *checker) narrow() bool {
-	return !slices.ContainsFunc(c.changed, func(ch record.Change) bool { return ch.Kind != RuleKind && ch.Kind != DecisionKind })
+// changesOnlyRules reports whether the write changes only rules and decisions, so that the tree and all ownership
+// stay the same.
+func (c *checker) changesOnlyRules() bool {
+	return !slices.ContainsFunc(c.changes, func(change record.Change) bool {
+		return change.Kind != RuleKind && change.Kind != DecisionKind
+	})
 }
 
-// together tells whether a part of a conflict that the write does not touch was set after its base.
-func (c *checker) together(f *Conflict) bool {
-	mine, late := false, false
-	see := func(kind record.Kind, key string) {
-		if slices.ContainsFunc(c.changed, func(ch record.Change) bool { return ch.Kind == kind && ch.Key == key }) {
-			mine = true
-		} else if e := c.will.entries[place{kind, key}]; e != nil && e.Version > c.w.Base {
-			late = true
+// isConcurrent reports whether an item of the conflict that the write does not change was set after the write's
+// base version.
+func (c *checker) isConcurrent(conflict *Conflict) bool {
+	changed, newer := false, false
+	inspect := func(kind record.Kind, key string) {
+		if slices.ContainsFunc(c.changes, func(change record.Change) bool { return change.Kind == kind && change.Key == key }) {
+			changed = true
+		} else if e := c.after.entries[itemKey{kind, key}]; e != nil && e.Version > c.write.Base {
+			newer = true
 		}
 	}
-	see(f.A.Kind, f.A.Key)
-	see(f.B.Kind, f.B.Key)
-	for _, o := range f.Others {
-		see(f.A.Kind, o)
+	inspect(conflict.A.Kind, conflict.A.Key)
+	inspect(conflict.B.Kind, conflict.B.Key)
+	for _, o := range conflict.Others {
+		inspect(conflict.A.Kind, o)
 	}
-	return mine && late
+	return changed && newer
 }
 
-// structure looks at what the state after must be whatever has changed: a tree, with a team at its root and nothing that is
-// named and not there.
-func (c *checker) structure() {
-	s := c.will
-	fault := func(form string, args ...any) { c.faults = append(c.faults, fmt.Sprintf(form, args...)) }
+// checkStructure validates what must hold in the new state whatever has changed: the namespaces form one tree, the
+// owner of the root is an active team, and every team and namespace that is referred to exists.
+func (c *checker) checkStructure() {
+	s := c.after
+	addFault := func(format string, args ...any) { c.faults = append(c.faults, fmt.Sprintf(format, args...)) }
 	root := s.nodes[Selector{}.String()]
 	switch {
 	case root == nil:
-		fault("namespace */*/*: there must be a root")
-	case !s.lives(root.Owner):
-		fault("team %s: it owns the root, and must be there", root.Owner)
+		addFault("namespace */*/*: there must be a root")
+	case !s.isActiveTeam(root.Owner):
+		addFault("team %s: it owns the root, and must be there", root.Owner)
 	}
-	for _, n := range s.order {
-		if n.up == nil && n != root {
-			fault("namespace %s: parent %.60q is not there, or does not contain it", n.key, n.Parent)
+	for _, n := range s.preorder {
+		if n.parentNode == nil && n != root {
+			addFault("namespace %s: parent %.60q is not there, or does not contain it", n.key, n.Parent)
 		}
-		if _, ok := get[*Team](s, TeamKind, n.Owner); !ok {
-			fault("namespace %s: team %s is not there", n.key, n.Owner)
+		if _, ok := lookupValue[*Team](s, TeamKind, n.Owner); !ok {
+			addFault("namespace %s: team %s is not there", n.key, n.Owner)
 		}
 	}
-	for _, r := range s.lost {
-		fault("rule %s: its namespace is not there", r.Key)
+	for _, r := range s.orphanedRules {
+		addFault("rule %s: its namespace is not there", r.Key)
 	}
-	for _, g := range all[*grant](s, GrantKind) {
-		if _, ok := get[*Team](s, TeamKind, g.To); !ok || s.nodes[g.In] == nil {
-			fault("grant %s: team %s or namespace %s is not there", g.Key, g.To, g.In)
+	for _, g := range valuesOf[*grant](s, GrantKind) {
+		if _, ok := lookupValue[*Team](s, TeamKind, g.To); !ok || s.nodes[g.In] == nil {
+			addFault("grant %s: team %s or namespace %s is not there", g.Key, g.To, g.In)
 		}
 	}
 }
 
-// change looks at one change by itself: its history, who may make it, and what it names. It gives what is wrong.
-func (c *checker) change(ch record.Change) string {
-	at := place{ch.Kind, ch.Key}
-	old, now := c.was.entries[at], c.will.entries[at]
-	if why := c.history(old, now); why != "" {
-		return why
-	}
-	if !c.will.lives(c.team) && !c.was.lives(c.team) {
-		return fmt.Sprintf("by: %.40q is not TEAM or TEAM/..., of a team that is there", c.w.By)
-	}
-	was, will := val(old), val(now)
-	if was == nil && will == nil { // the last trace of something long gone: whoever may set it
+// checkChange validates a single change: its history, the permission of the writing team, and its references. It
+// returns the fault, or "" if there is none.
+func (c *checker) checkChange(change record.Change) string {
+	key := itemKey{change.Kind, change.Key}
+	oldEntry, newEntry := c.before.entries[key], c.after.entries[key]
+	if fault := c.checkHistory(oldEntry, newEntry); fault != "" {
+		return fault
+	}
+	if !c.after.isActiveTeam(c.team) && !c.before.isActiveTeam(c.team) {
+		return fmt.Sprintf("by: %.40q is not TEAM or TEAM/..., of a team that is there", c.write.By)
+	}
+	before, after := entryValue(oldEntry), entryValue(newEntry)
+	if before == nil && after == nil { // removes the history of a deleted item: any active team may do so
 		return ""
 	}
-	switch ch.Kind {
+	switch change.Kind {
 	case TeamKind:
-		return c.aTeam(ch.Key, will)
+		return c.checkTeamChange(change.Key, after)
 	case ClassKind:
-		return c.mayBe(c.will.rootOwner())
+		return c.requireTeam(c.after.rootOwner())
 	case NamespaceKind:
-		return c.aNamespace(ch.Key, was, will)
+		return c.checkNamespaceChange(change.Key, before, after)
 	case GrantKind:
-		return c.aGrant(was, will)
+		return c.checkGrantChange(before, after)
 	case RuleKind:
-		return c.aRule(was, will)
+		return c.checkRuleChange(before, after)
 	}
-	return c.aDecision(was, will)
+	return c.checkDecisionChange(before, after)
 }
 
-func val(e *entry) any {
+func entryValue(e *entry) any {
 	if e == nil {
 		return nil
 	}
-	return e.val
+	return e.value
 }
 
-func (s *State) rootOwner() string { return s.owner(s.nodes[Selector{}.String()]) }
+func (state *State) rootOwner() string { return state.activeOwner(state.nodes[Selector{}.String()]) }
 
-// history wants a value to carry on what was before.
-func (c *checker) history(old, now *entry) string {
+// checkHistory requires that a new value extends the history of the old one.
+func (c *checker) checkHistory(oldEntry, newEntry *entry) string {
 	switch {
-	case now == nil && old != nil && old.now != nil:
+	case newEntry == nil && oldEntry != nil && oldEntry.current != nil:
 		return "it must be set to \"now\":null, which keeps its history, before it is taken away"
-	case now == nil:
+	case newEntry == nil:
 		return ""
-	case old == nil:
-		if len(now.past) > 0 {
+	case oldEntry == nil:
+		if len(newEntry.past) > 0 {
 			return "past: there is none"
 		}
 		return ""
 	}
-	was := old.now
-	if was == nil {
-		was = json.RawMessage("null")
+	replaced := oldEntry.current
+	if replaced == nil {
+		replaced = json.RawMessage("null")
 	}
-	want := append(slices.Clone(old.past), Past{was, c.w.By})
+	want := append(slices.Clone(oldEntry.past), Past{replaced, c.write.By})
 	want = want[max(0, len(want)-maxPast):]
-	if !slices.EqualFunc(want, now.past, func(a, b Past) bool { return a.By == b.By && bytes.Equal(a.Was, b.Was) }) {
-		return fmt.Sprintf("past: it must end with what is there now, replaced by %q, and have what was before, %d at most", c.w.By, maxPast)
+	if !slices.EqualFunc(want, newEntry.past, func(a, b Past) bool { return a.By == b.By && bytes.Equal(a.Was, b.Was) }) {
+		return fmt.Sprintf("past: it must end with what is there now, replaced by %q, and have what was before, %d at most",
+			c.write.By, maxPast)
 	}
 	return ""
 }
 
-// mayBe wants the write to be by one of some teams.
-func (c *checker) mayBe(teams ...string) string {
+// requireTeam returns a fault unless the write is made by one of the teams.
+func (c *checker) requireTeam(teams ...string) string {
 	if slices.Contains(teams, c.team) {
 		return ""
 	}
--- a/internal/rules/circles.go
+++ b/internal/rules/circles.go
@@ -5,59 +5,60 @@
 	"slices"
 )
 
-// grants looks at each grant against the one that it is under, and for circles of them.
-func (f *finder) grants() {
-	for _, g := range all[*grant](f.s, GrantKind) {
+// checkGrants checks each grant against its parent grant, and searches for cycles of grants.
+func (f *conflictFinder) checkGrants() {
+	for _, g := range valuesOf[*grant](f.state, GrantKind) {
 		if g.Under == "" {
 			continue
 		}
-		above, ok := get[*grant](f.s, GrantKind, g.Under)
+		parent, ok := lookupValue[*grant](f.state, GrantKind, g.Under)
 		if !ok {
-			if side, was := f.goneSide(GrantKind, g.Under); was {
-				f.report(Conflict{Kind: Withdrawn, A: f.grantSide(g), B: side, Witness: g.in.witness(), Why: "the grant above it is gone"})
+			if side, existed := f.removedSide(GrantKind, g.Under); existed {
+				f.report(Conflict{Kind: Withdrawn, A: f.grantSide(g), B: side, Witness: g.selector.witness(),
+					Why: "the grant above it is gone"})
 			}
 			continue
 		}
-		f.under(g, above)
-		f.chain(g)
+		f.checkParentGrant(g, parent)
+		f.checkGrantChain(g)
 	}
 }
 
-// under holds a grant against the one that it is under.
-func (f *finder) under(g, above *grant) {
-	region, both := g.in.Meet(above.in)
-	if !both {
-		if old, ok := f.before(above); ok && old.in.Contains(g.in) {
-			f.report(Conflict{Kind: Withdrawn, A: f.grantSide(g), B: f.grantSide(old), Witness: g.in.witness(),
+// checkParentGrant checks that a grant stays within its parent grant.
+func (f *conflictFinder) checkParentGrant(g, parent *grant) {
+	region, overlap := g.selector.Meet(parent.selector)
+	if !overlap {
+		if old, ok := f.previousGrant(parent); ok && old.selector.Contains(g.selector) {
+			f.report(Conflict{Kind: Withdrawn, A: f.grantSide(g), B: f.grantSide(old), Witness: g.selector.witness(),
 				Why: "the grant above it is for another namespace now"})
 		}
 		return
 	}
-	c := Conflict{A: f.grantSide(g), B: f.grantSide(above), Witness: region.witness()}
-	at, top := f.s.nodes[g.In], f.s.nodes[above.In]
-	wide := at == nil || top == nil || at != top && !top.above(at)
+	c := Conflict{A: f.grantSide(g), B: f.grantSide(parent), Witness: region.witness()}
+	grantNode, parentNode := f.state.nodes[g.In], f.state.nodes[parent.In]
+	exceedsParent := grantNode == nil || parentNode == nil || grantNode != parentNode && !parentNode.isAncestorOf(grantNode)
 	switch {
-	case !above.Pass:
+	case !parent.Pass:
 		c.Kind, c.Why = Withdrawn, "the grant above it may not be passed on"
-	case wide:
+	case exceedsParent:
 		c.Kind, c.Why = Looser, "it is for more than the grant above it"
 	default:
 		for _, s := range Settings() {
-			if !g.covers(s) {
+			if !g.coversSetting(s) {
 				continue
 			}
-			if !above.covers(s) {
+			if !parent.coversSetting(s) {
 				c.Kind, c.Why = Looser, "the grant above it is not for "+string(s)
 				break
 			}
-			most := above.cap(s)
-			if most == nil {
+			allowed := parent.capFor(s)
+			if allowed == nil {
 				continue
 			}
-			if mine := g.cap(s); mine == nil || looser(*mine, *most) {
-				c.Kind, c.Why = Looser, fmt.Sprintf("the grant above it allows no more than %s", text(s, *most))
-				if mine != nil {
-					c.Witness.Caller = between(mine.Callers, most.Callers)
+			if requested := g.capFor(s); requested == nil || isLooser(*requested, *allowed) {
+				c.Kind, c.Why = Looser, fmt.Sprintf("the grant above it allows no more than %s", formatValue(s, *allowed))
+				if requested != nil {
+					c.Witness.Caller = distinguishingCaller(requested.Callers, allowed.Callers)
 				}
 				break
 			}
@@ -68,43 +69,44 @@
 	}
 }
 
-// chain follows a grant upwards to the owner. A grant met again is a circle, and so is a team that would be given what it
-// gives itself.
-func (f *finder) chain(g *grant) {
-	seen := []*grant{g}
-	for above := g; above.Under != ""; {
-		next, ok := get[*grant](f.s, GrantKind, above.Under)
+// checkGrantChain follows the parents of a grant up to the namespace owner. Reaching the same grant again is a
+// cycle, and so is a team that receives a part of what it grants itself.
+func (f *conflictFinder) checkGrantChain(g *grant) {
+	chain := []*grant{g}
+	for current := g; current.Under != ""; {
+		next, ok := lookupValue[*grant](f.state, GrantKind, current.Under)
 		if !ok {
 			return
 		}
-		if slices.Contains(seen, next) {
-			if next == g { // it is on the circle, not only under it
-				f.back(g, seen, "the grants rest on each other")
+		if slices.Contains(chain, next) {
+			if next == g { // g is on the cycle, not only below it
+				f.reportGrantCycle(g, chain, "the grants rest on each other")
 			}
 			return
 		}
 		if next.To == g.To {
-			f.back(g, append(seen, next), g.To+" would be given a part of what it gives away itself")
+			f.reportGrantCycle(g, append(chain, next), g.To+" would be given a part of what it gives away itself")
 			return
 		}
-		seen = append(seen, next)
-		above = next
+		chain = append(chain, next)
+		current = next
 	}
-	top := seen[len(seen)-1]
-	if top != g && f.s.giver(top) == g.To {
-		f.back(g, seen, g.To+" would be given a part of what it gives away itself")
+	last := chain[len(chain)-1]
+	if last != g && f.state.grantor(last) == g.To {
+		f.reportGrantCycle(g, chain, g.To+" would be given a part of what it gives away itself")
 	}
 }
 
-// back reports a circle through g and the last of its chain; where that is under g, the one that g is under.
-func (f *finder) back(g *grant, chain []*grant, why string) {
+// reportGrantCycle reports a cycle between g and the last grant of its chain, or the parent of g if the last one
+// is a child of g.
+func (f *conflictFinder) reportGrantCycle(g *grant, chain []*grant, why string) {
 	other := chain[len(chain)-1]
-	if next, ok := get[*grant](f.s, GrantKind, g.Under); ok && other.Under == g.Key {
+	if next, ok := lookupValue[*grant](f.state, GrantKind, g.Under); ok && other.Under == g.Key {
 		other = next
 	}
-	region, ok := g.in.Meet(other.in)
+	region, ok := g.selector.Meet(other.selector)
 	if !ok {
-		return // one of them is wider than what it is under, which is told already
+		return // one of them exceeds its parent grant, which is reported already
 	}
 	c := Conflict{Kind: Circle, A: f.grantSide(g), B: f.grantSide(other), Witness: region.witness(), Why: why}
 	for _, m := range chain {
@@ -115,53 +117,58 @@
 	f.report(c)
 }
 
-// circles looks for three rules of which each holds over the next. If there is any circle among rules that a call matches,
-// there is one of three: of any two of them one holds, and selectors that meet in pairs meet all together. Two decisions must have
-// part in it, at a rule in the middle. only limits it to circles with one of these rules; nil for all.
-func (f *finder) circles(only map[string]bool) {
-	over, under := map[*rule][]*rule{}, map[*rule][]*rule{} // by decision
-	for _, d := range all[*Decision](f.s, DecisionKind) {
-		a, okA := get[*rule](f.s, RuleKind, d.A)
-		b, okB := get[*rule](f.s, RuleKind, d.B)
-		if !okA || !okB || f.s.node(a) == nil || f.s.node(b) == nil || f.s.decided(a, b) == nil || !f.decidable(a, b) || !differ(a, b) {
+// findDecisionCycles searches for three rules that take precedence over each other in a cycle. Checking cycles of
+// three is enough: of any two rules that match a call one takes precedence, and selectors that intersect in pairs
+// have a call common to all, so any longer cycle contains one of three. At least two of the three orderings come
+// from decisions, and these share a rule, the middle one. If only is not nil, cycles without any of its rules are
+// skipped.
+func (f *conflictFinder) findDecisionCycles(only map[string]bool) {
+	winners, losers := map[*rule][]*rule{}, map[*rule][]*rule{} // by decision: the rules that win against a rule, and those that lose
+	for _, d := range valuesOf[*Decision](f.state, DecisionKind) {
+		a, okA := lookupValue[*rule](f.state, RuleKind, d.A)
+		b, okB := lookupValue[*rule](f.state, RuleKind, d.B)
+		if !okA || !okB || f.state.ruleNode(a) == nil || f.state.ruleNode(b) == nil ||
+			f.state.decisionWinner(a, b) == nil || !f.areOverlappingPeers(a, b) || !contradict(a, b) {
 			continue
 		}
-		if f.s.beats(b, a) {
+		if f.state.takesPrecedence(b, a) {
 			a, b = b, a
 		}
-		over[b], under[a] = append(over[b], a), append(under[a], b)
+		winners[b], losers[a] = append(winners[b], a), append(losers[a], b)
 	}
-	for middle, above := range over {
-		for _, p := range above {
-			for _, q := range under[middle] {
+	for middle, middleWinners := range winners {
+		for _, p := range middleWinners {
+			for _, q := range losers[middle] {
 				if only != nil && !only[p.Key] && !only[q.Key] && !only[middle.Key] {
 					continue
 				}
-				if _, meet := p.In.Meet(q.In); meet && p != q && f.s.beats(q, p) {
-					f.round(p, middle, q)
+				if _, overlap := p.In.Meet(q.In); overlap && p != q && f.state.takesPrecedence(q, p) {
+					f.reportDecisionCycle(p, middle, q)
 				}
 			}
 		}
 	}
 }
 
-// decidable tells whether two rules are of one setting, and peers that have calls in common.
-func (f *finder) decidable(a, b *rule) bool {
-	na, nb := f.s.node(a), f.s.node(b)
-	_, meet := a.In.Meet(b.In)
-	return a.Setting == b.Setting && meet && !na.above(nb) && !nb.above(na)
+// areOverlappingPeers reports whether two rules are for the same setting, in namespaces that have calls in common
+// and of which neither is an ancestor of the other.
+func (f *conflictFinder) areOverlappingPeers(a, b *rule) bool {
+	nodeA, nodeB := f.state.ruleNode(a), f.state.ruleNode(b)
+	_, overlap := a.In.Meet(b.In)
+	return a.Setting == b.Setting && overlap && !nodeA.isAncestorOf(nodeB) && !nodeB.isAncestorOf(nodeA)
 }
 
-// round reports a circle of decisions, in the order of keys whichever was found first.
-func (f *finder) round(three ...*rule) {
-	slices.SortFunc(three, func(a, b *rule) int {
+// reportDecisionCycle reports a cycle of decisions, with the rules sorted by key so that the report does not
+// depend on the order of the search.
+func (f *conflictFinder) reportDecisionCycle(cycle ...*rule) {
+	slices.SortFunc(cycle, func(a, b *rule) int {
 		if a.Key < b.Key {
 			return -1
 		}
 		return 1
 	})
-	region, _ := three[0].In.Meet(three[1].In)
-	region, _ = region.Meet(three[2].In)
-	f.report(Conflict{Kind: Circle, A: f.ruleSide(three[0]), B: f.ruleSide(three[1]), Others: []string{three[2].Key},
+	region, _ := cycle[0].In.Meet(cycle[1].In)
+	region, _ = region.Meet(cycle[2].In)
+	f.report(Conflict{Kind: Circle, A: f.ruleSide(cycle[0]), B: f.ruleSide(cycle[1]), Others: []string{cycle[2].Key},
 		Witness: region.witness(), Why: "decisions go round: each of the three holds over another"})
 }
--- a/internal/rules/codec.go
+++ b/internal/rules/codec.go
@@ -12,171 +12,176 @@
 	"burlpass/internal/record"
 )
 
-// maxPast is how many earlier values an item keeps.
+// maxPast is the number of earlier values that an item keeps.
 const maxPast = 8
 
-// Past is a value that was replaced.
+// Past is an earlier value of an item.
 type Past struct {
-	Was json.RawMessage `json:"was"` // null where there was none in force
+	Was json.RawMessage `json:"was"` // null if none was in force
 	By  string          `json:"by"`  // who replaced it
 }
 
-// kept is an item's value: what is in force, null for nothing, and what was before, oldest first.
-type kept struct {
+// storedValue is the value of an item as the record stores it: the current value, null if none is in force, and
+// the earlier values, oldest first.
+type storedValue struct {
 	Now  json.RawMessage `json:"now"`
 	Past []Past          `json:"past,omitempty"`
 }
 
-// quick reads JSON that was in the one form when the record took it; what is not known in it is an error.
-func quick(raw []byte, into any) error {
+// decodeJSON decodes JSON whose canonical form was checked when the record accepted it. Unknown fields are an error.
+func decodeJSON(raw []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	return dec.Decode(into)
 }
 
-// strict reads JSON that is, but for white space, byte for byte what is written for what it says.
-func strict(raw []byte, into any) error {
-	if err := quick(raw, into); err != nil {
+// decodeCanonicalJSON decodes JSON and requires that encoding the result again gives the same bytes, white space aside.
+func decodeCanonicalJSON(raw []byte, into any) error {
+	if err := decodeJSON(raw, into); err != nil {
 		return err
 	}
-	var plain bytes.Buffer
-	if err := json.Compact(&plain, raw); err != nil {
+	var compacted bytes.Buffer
+	if err := json.Compact(&compacted, raw); err != nil {
 		return err
 	}
-	again, err := json.Marshal(into)
+	canonical, err := json.Marshal(into)
 	if err != nil {
 		return err
 	}
-	if got := plain.Bytes(); !bytes.Equal(got, again) {
-		at := 0
-		for at < len(got) && at < len(again) && got[at] == again[at] {
-			at++
+	if got := compacted.Bytes(); !bytes.Equal(got, canonical) {
+		common := 0
+		for common < len(got) && common < len(canonical) && got[common] == canonical[common] {
+			common++
 		}
-		return fmt.Errorf("not in the one form from %.30q on; it would be %.30q", got[at:], again[at:])
+		return fmt.Errorf("not in the one form from %.30q on; it would be %.30q", got[common:], canonical[common:])
 	}
 	return nil
 }
 
-// History gives what an item of these kinds was before, oldest first, and what is in force, nil for nothing.
-func History(i record.Item) (past []Past, now json.RawMessage, err error) {
-	var k kept
-	if err := strict(i.Value, &k); err != nil {
-		return nil, nil, fmt.Errorf("%s %s: %w", i.Kind, i.Key, err)
+// History returns the earlier values of an item of these kinds, oldest first, and its current value, nil if none
+// is in force.
+func History(item record.Item) (past []Past, now json.RawMessage, err error) {
+	var stored storedValue
+	if err := decodeCanonicalJSON(item.Value, &stored); err != nil {
+		return nil, nil, fmt.Errorf("%s %s: %w", item.Kind, item.Key, err)
 	}
-	if isNull(k.Now) {
-		k.Now = nil
+	if isNull(stored.Now) {
+		stored.Now = nil
 	}
-	return k.Past, k.Now, nil
+	return stored.Past, stored.Now, nil
 }
 
 func isNull(raw json.RawMessage) bool { return len(raw) == 0 || string(raw) == "null" }
 
-// Amend gives the change that puts now in the place of an item's value, nil for nothing in force, and carries its history
-// on. The item is the one of the state that the write rests on, its Value nil where there is none.
-func Amend(was record.Item, now json.RawMessage, by string) (record.Change, error) {
-	next := kept{Now: now}
+// Amend returns the change that replaces the current value of an item by now, or removes it if now is nil, and
+// extends its history. previous is the item in the state that the write is based on; its Value is nil if there is
+// no such item.
+func Amend(previous record.Item, now json.RawMessage, by string) (record.Change, error) {
+	next := storedValue{Now: now}
 	if now == nil {
 		next.Now = json.RawMessage("null")
 	}
-	if was.Value != nil {
-		past, old, err := History(was)
+	if previous.Value != nil {
+		past, replaced, err := History(previous)
 		if err != nil {
 			return record.Change{}, err
 		}
-		if old == nil {
-			old = json.RawMessage("null")
+		if replaced == nil {
+			replaced = json.RawMessage("null")
 		}
-		next.Past = append(past, Past{old, by})
+		next.Past = append(past, Past{replaced, by})
 		next.Past = next.Past[max(0, len(next.Past)-maxPast):]
 	}
 	raw, err := json.Marshal(next)
 	if err != nil {
-		return record.Change{}, fmt.Errorf("%s %s: %w", was.Kind, was.Key, err)
+		return record.Change{}, fmt.Errorf("%s %s: %w", previous.Kind, previous.Key, err)
 	}
-	return record.Change{Kind: was.Kind, Key: was.Key, Value: raw}, nil
+	return record.Change{Kind: previous.Kind, Key: previous.Key, Value: raw}, nil
 }
 
-// TakeBack gives the change that puts the value before the last one back in force. It fails where nothing was before.
+// TakeBack returns the change that reverts an item to the value before its current one. An item that has only ever
+// had one value is removed.
 func TakeBack(item record.Item, by string) (record.Change, error) {
 	past, _, err := History(item)
 	if err != nil {
 		return record.Change{}, err
 	}
 	if len(past) == 0 {
-		return Amend(item, nil, by) // it was new: what was before is nothing
+		return Amend(item, nil, by) // the item was new: there was no value before
 	}
-	was := past[len(past)-1].Was
-	if isNull(was) {
-		was = nil
+	previous := past[len(past)-1].Was
+	if isNull(previous) {
+		previous = nil
 	}
-	return Amend(item, was, by)
+	return Amend(item, previous, by)
 }
 
-// canonical checks a value by itself and gives the one form of it.
-func canonical(kind record.Kind, key string, value json.RawMessage) (json.RawMessage, error) {
-	var k kept
-	if err := strict(value, &k); err != nil {
+// canonicalValue validates a value without regard to other items and returns its canonical form.
+func canonicalValue(kind record.Kind, key string, value json.RawMessage) (json.RawMessage, error) {
+	var stored storedValue
+	if err := decodeCanonicalJSON(value, &stored); err != nil {
 		return nil, err
 	}
-	if len(k.Past) > maxPast {
-		return nil, fmt.Errorf("past: %d of them; there may be %d", len(k.Past), maxPast)
+	if len(stored.Past) > maxPast {
+		return nil, fmt.Errorf("past: %d of them; there may be %d", len(stored.Past), maxPast)
 	}
-	for i, p := range k.Past {
-		if _, err := decode(kind, key, p.Was, strict); err != nil {
+	for i, p := range stored.Past {
+		if _, err := decodeValue(kind, key, p.Was, decodeCanonicalJSON); err != nil {
 			return nil, fmt.Errorf("past[%d]: %w", i, err)
 		}
 	}
-	if _, err := decode(kind, key, k.Now, strict); err != nil {
+	if _, err := decodeValue(kind, key, stored.Now, decodeCanonicalJSON); err != nil {
 		return nil, fmt.Errorf("now: %w", err)
 	}
-	return json.Marshal(k)
+	return json.Marshal(stored)
 }
 
-// decode reads one value of a kind by strict or quick: a pointer to it, nil where it is null.
-func decode(kind record.Kind, key string, raw json.RawMessage, by func([]byte, any) error) (any, error) {
+// decodeValue decodes a value of a kind with decodeJSON or decodeCanonicalJSON. It returns a pointer to the value,
+// nil for null.
+func decodeValue(kind record.Kind, key string, raw json.RawMessage, unmarshal func([]byte, any) error) (any, error) {
 	if isNull(raw) {
-		return nil, checkKey(kind, key)
+		return nil, validateKey(kind, key)
 	}
-	if err := checkKey(kind, key); err != nil {
+	if err := validateKey(kind, key); err != nil {
 		return nil, fmt.Errorf("key: %w", err)
 	}
 	switch kind {
 	case TeamKind:
-		v := new(Team)
-		return v, by(raw, v)
+		target := new(Team)
+		return target, unmarshal(raw, target)
 	case ClassKind:
-		v := new(Class)
-		err := by(raw, v)
-		if err == nil && (v.Attempts < 1 || v.Attempts > 100) {
-			err = fmt.Errorf("attempts: %d; there must be 1 to 100", v.Attempts)
+		target := new(Class)
+		err := unmarshal(raw, target)
+		if err == nil && (target.Attempts < 1 || target.Attempts > 100) {
+			err = fmt.Errorf("attempts: %d; there must be 1 to 100", target.Attempts)
 		}
-		return v, err
+		return target, err
 	case NamespaceKind:
-		v := new(Namespace)
-		err := by(raw, v)
-		if err == nil && !name(v.Owner) {
-			err = fmt.Errorf("owner: %.40q is no name", v.Owner)
+		target := new(Namespace)
+		err := unmarshal(raw, target)
+		if err == nil && !validName(target.Owner) {
+			err = fmt.Errorf("owner: %.40q is no name", target.Owner)
 		}
-		return v, err
+		return target, err
 	case GrantKind:
-		v := new(Grant)
-		err := errors.Join(by(raw, v), v.check())
-		if v.Under == key {
+		target := new(Grant)
+		err := errors.Join(unmarshal(raw, target), target.validate())
+		if target.Under == key {
 			err = errors.New("under: a grant cannot be under itself")
 		}
-		return v, err
+		return target, err
 	case RuleKind:
-		v := new(Rule)
+		target := new(Rule)
 		k, _ := ParseRuleKey(key)
-		return v, errors.Join(by(raw, v), v.check(k.Setting))
+		return target, errors.Join(unmarshal(raw, target), target.validate(k.Setting))
 	case DecisionKind:
-		v := new(Decision)
-		return v, errors.Join(by(raw, v), v.check(key))
+		target := new(Decision)
+		return target, errors.Join(unmarshal(raw, target), target.validate(key))
 	}
 	return nil, fmt.Errorf("kind: %.40q is not one of rules", kind)
 }
 
-func checkKey(kind record.Kind, key string) error {
+func validateKey(kind record.Kind, key string) error {
 	switch kind {
 	case NamespaceKind:
 		s, err := ParseSelector(key)
@@ -188,104 +193,104 @@
 		_, err := ParseRuleKey(key)
 		return err
 	case DecisionKind:
-		return nil // checked with the value
+		return nil // validated together with the value
 	}
-	if !name(key) {
-		return fmt.Errorf("%.40q must be 1 to %d of a-z 0-9 . _ -", key, nameBytes)
+	if !validName(key) {
+		return fmt.Errorf("%.40q must be 1 to %d of a-z 0-9 . _ -", key, maxNameBytes)
 	}
 	return nil
 }
 
-func (v *Value) check(s Setting, share bool) error {
-	least, most := s.span()
-	n := 0
+func (v *Value) validate(s Setting, allowShare bool) error {
+	minimum, maximum := s.valueRange()
+	fieldsSet := 0
 	if v.N != nil {
-		n++
-		if *v.N < least || *v.N > most {
-			return fmt.Errorf("value: %d; %s must be %d to %d", *v.N, s, least, most)
+		fieldsSet++
+		if *v.N < minimum || *v.N > maximum {
+			return fmt.Errorf("value: %d; %s must be %d to %d", *v.N, s, minimum, maximum)
 		}
 	}
 	if v.Share != nil {
-		n++
-		if !share || !s.limit() || *v.Share < 1 || *v.Share > 1000 {
+		fieldsSet++
+		if !allowShare || !s.isFleetLimit() || *v.Share < 1 || *v.Share > 1000 {
 			return fmt.Errorf("share: %d of %s; only a rule of rate or calls has one, 1 to 1000", *v.Share, s)
 		}
 	}
 	if v.Callers != nil {
-		n++
+		fieldsSet++
 		ordered := slices.IsSorted(v.Callers) && len(slices.Compact(slices.Clone(v.Callers))) == len(v.Callers)
-		if !ordered || len(v.Callers) > maxCallers || slices.ContainsFunc(v.Callers, func(c string) bool { return !name(c) }) {
+		if !ordered || len(v.Callers) > maxCallers || slices.ContainsFunc(v.Callers, func(c string) bool { return !validName(c) }) {
 			return fmt.Errorf("callers: they must be up to %d names, in order, each once", maxCallers)
 		}
 	}
-	if n != 1 || (v.Callers != nil) != (s == Callers) {
+	if fieldsSet != 1 || (v.Callers != nil) != (s == Callers) {
 		return fmt.Errorf("%s must have one value: callers for %s, value or share for the others", s, Callers)
 	}
 	return nil
 }
 
-func (r *Rule) check(s Setting) error {
+func (r *Rule) validate(s Setting) error {
 	switch {
 	case r.Mode != Default && r.Mode != Bound && r.Mode != Locked:
 		return fmt.Errorf("mode: %.40q is not %s, %s or %s", r.Mode, Default, Bound, Locked)
-	case r.Under != "" && !name(r.Under):
+	case r.Under != "" && !validName(r.Under):
 		return fmt.Errorf("under: %.40q is no name", r.Under)
-	case r.Needs != "" && !name(r.Needs):
+	case r.Needs != "" && !validName(r.Needs):
 		return fmt.Errorf("needs: %.40q is no name", r.Needs)
 	}
-	return errors.Join(r.Value.check(s, true), r.checkCut(s))
+	return errors.Join(r.Value.validate(s, true), r.validateCut(s))
 }
 
-func (g *Grant) check() error {
+func (g *Grant) validate() error {
 	if s, err := ParseSelector(g.In); err != nil {
 		return fmt.Errorf("in: %w", err)
 	} else if s.String() != g.In {
 		return fmt.Errorf("in: %.60q must be written %s", g.In, s)
 	}
-	if !name(g.To) || g.Under != "" && !name(g.Under) {
+	if !validName(g.To) || g.Under != "" && !validName(g.Under) {
 		return fmt.Errorf("to, under: %.40q or %.40q is no name", g.To, g.Under)
 	}
 	last := -1
 	for _, s := range g.Settings {
-		if s.number() <= last {
+		if s.index() <= last {
 			return fmt.Errorf("settings: they must be of %v, in this order, each once", Settings())
 		}
-		last = s.number()
+		last = s.index()
 	}
 	last = -1
 	for i := range g.Caps {
 		c := &g.Caps[i]
-		if c.Setting.number() <= last || !g.covers(c.Setting) {
+		if c.Setting.index() <= last || !g.coversSetting(c.Setting) {
 			return fmt.Errorf("caps[%d]: %.40q is not granted, or out of the order %v", i, c.Setting, Settings())
 		}
-		last = c.Setting.number()
-		if err := c.Value.check(c.Setting, false); err != nil {
+		last = c.Setting.index()
+		if err := c.Value.validate(c.Setting, false); err != nil {
 			return fmt.Errorf("caps[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func (d *Decision) check(key string) error {
+func (d *Decision) validate(key string) error {
 	switch {
 	case d.A >= d.B || PairKey(d.A, d.B) != key:
 		return errors.New("a must be before b, and the key that of the pair")
 	case d.Pick != d.A && d.Pick != d.B:
 		return fmt.Errorf("pick: %.60q is neither a nor b", d.Pick)
-	case !hexSum(d.ASum) || !hexSum(d.BSum):
+	case !validDigest(d.ASum) || !validDigest(d.BSum):
 		return errors.New("a_sum, b_sum: they must be 16 hex digits")
-	case len(d.Why) > 200 || !printable(d.Why):
+	case len(d.Why) > 200 || !isPrintable(d.Why):
 		return errors.New("why: it must be up to 200 bytes of printable ASCII, without < > &")
 	}
 	return nil
 }
 
-func hexSum(s string) bool {
+func validDigest(s string) bool {
 	b, err := hex.DecodeString(s)
 	return err == nil && len(b) == 8 && hex.EncodeToString(b) == s
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '<' || c == '>' || c == '&' {
 			return false
@@ -294,14 +299,14 @@
 	return true
 }
 
-// PairKey is the key of the decision about two rules, in either order.
+// PairKey returns the key of the decision about two rules, given in either order.
 func PairKey(a, b string) string {
 	d := sha256.Sum256([]byte(min(a, b) + "\n" + max(a, b)))
 	return hex.EncodeToString(d[:16])
 }
 
-// sumOf is the digest of what is in force under a key, by which a decision knows it again.
-func sumOf(kind record.Kind, key string, now []byte) [sha256.Size]byte {
+// itemDigest returns the digest of the current value of an item. Decisions refer to the values of rules by it.
+func itemDigest(kind record.Kind, key string, now []byte) [sha256.Size]byte {
 	b := make([]byte, 0, 512)
 	b = append(append(b, kind...), '\n')
 	b = append(append(b, key...), '\n')
--- a/internal/rules/decoder.go
+++ b/internal/rules/decoder.go
@@ -9,14 +9,14 @@
 	"burlpass/internal/record"
 )
 
-// Decoder remembers what it has read, so that a state after a small change costs little. It is safe for any number of
-// goroutines; what it gives depends on the items alone.
+// Decoder builds states from items. It keeps the last state, so that a state that differs little from it is cheap
+// to build. Its results depend only on the items. It is safe for concurrent use.
 type Decoder struct {
 	mu   sync.Mutex
 	last *State
 }
 
-// Load reads the items of a view that are of these kinds. It fails for a value that is not canonical.
+// Load builds the state of the items of a view that are of these kinds. It fails if a value is not canonical.
 func (d *Decoder) Load(v record.View) (*State, error) {
 	var items []record.Item
 	for _, k := range Kinds() {
@@ -28,17 +28,17 @@
 	return d.Merge(items)
 }
 
-// Merge makes a state of items in any order. The same item twice counts once; two values under one key are an error, as is a
-// value that is not canonical.
+// Merge builds a state from items in any order. Duplicates of an item are ignored. Two different values under one
+// key are an error, as is a value that is not canonical.
 func (d *Decoder) Merge(items []record.Item) (*State, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.last == nil {
-		d.last = index(map[place]*entry{})
+		d.last = newState(map[itemKey]*entry{})
 	}
-	next, err := d.near(items)
+	next, err := d.mergeIncremental(items)
 	if next == nil && err == nil {
-		next, err = d.anew(items)
+		next, err = d.mergeAll(items)
 	}
 	if err == nil {
 		d.last = next
@@ -46,69 +46,70 @@
 	return next, err
 }
 
-// entry is an item as it was read last, or read now.
-func (d *Decoder) entry(i record.Item) (e *entry, known bool, err error) {
-	if e = d.last.entries[place{i.Kind, i.Key}]; e != nil && e.Version == i.Version && bytes.Equal(e.Value, i.Value) {
+// parseOrReuse returns the entry of an item, taken from the last state if the item is unchanged.
+func (d *Decoder) parseOrReuse(i record.Item) (e *entry, reused bool, err error) {
+	if e = d.last.entries[itemKey{i.Kind, i.Key}]; e != nil && e.Version == i.Version && bytes.Equal(e.Value, i.Value) {
 		return e, true, nil
 	}
-	e, err = read(i)
+	e, err = parseEntry(i)
 	return e, false, err
 }
 
-// maxNear is how many changed items are put into the last state, rather than all of them into a new one.
-const maxNear = 64
+// maxIncrementalChanges is the number of changed items up to which a state is derived from the last one instead of
+// built anew.
+const maxIncrementalChanges = 64
 
-// near makes a state of the last one, where all of that is there, a few items are other ones or new, and none of these is a namespace.
-// It gives nil where that is not so, or the items are not in order.
-func (d *Decoder) near(items []record.Item) (*State, error) {
+// mergeIncremental derives a state from the last one. It requires that the items are sorted, that none of the last
+// state is missing, and that only a few are changed or new, no namespaces among them. Otherwise it returns nil.
+func (d *Decoder) mergeIncremental(items []record.Item) (*State, error) {
 	var changed []*entry
-	kept := 0
+	matched := 0
 	for n, i := range items {
 		if n > 0 && cmp.Or(cmp.Compare(items[n-1].Kind, i.Kind), cmp.Compare(items[n-1].Key, i.Key)) >= 0 {
 			return nil, nil
 		}
-		e, known, err := d.entry(i)
+		e, reused, err := d.parseOrReuse(i)
 		if err != nil {
 			return nil, err
 		}
-		if d.last.entries[place{i.Kind, i.Key}] != nil {
-			kept++
+		if d.last.entries[itemKey{i.Kind, i.Key}] != nil {
+			matched++
 		}
-		if known {
+		if reused {
 			continue
 		}
-		if changed = append(changed, e); len(changed) > maxNear || i.Kind == NamespaceKind {
+		if changed = append(changed, e); len(changed) > maxIncrementalChanges || i.Kind == NamespaceKind {
 			return nil, nil
 		}
 	}
 	switch {
-	case kept != len(d.last.entries):
+	case matched != len(d.last.entries):
 		return nil, nil
 	case len(changed) == 0:
 		return d.last, nil
 	}
-	out := d.last.copied()
+	out := d.last.clone()
 	for _, e := range changed {
-		out.put(place{e.Kind, e.Key}, e)
+		out.put(itemKey{e.Kind, e.Key}, e)
 	}
 	return out, nil
 }
 
-func (d *Decoder) anew(items []record.Item) (*State, error) {
-	entries := make(map[place]*entry, len(items))
+func (d *Decoder) mergeAll(items []record.Item) (*State, error) {
+	entries := make(map[itemKey]*entry, len(items))
 	for _, i := range items {
-		at := place{i.Kind, i.Key}
-		if e, ok := entries[at]; ok {
+		key := itemKey{i.Kind, i.Key}
+		if e, ok := entries[key]; ok {
 			if e.Version != i.Version || !bytes.Equal(e.Value, i.Value) {
 				return nil, fmt.Errorf("%s %s: two values under one key", i.Kind, i.Key)
 			}
 			continue
 		}
-		e, _, err := d.entry(i)
+		e, _, err := d.parseOrReuse(i)
 		if err != nil {
 			return nil, err
 		}
-		entries[at] = e
+		entries[key] = e
 	}
-	return index(entries), nil
+	return newState(entries), nil
 }
--- a/internal/rules/domain_test.go
+++ b/internal/rules/domain_test.go
@@ -317,10 +317,10 @@
 		item(NamespaceKind, "*/*/k", 1, Namespace{"*/*/*", "root"}), item(NamespaceKind, "*/*/*/x", 1, Namespace{"*/*/*", "root"}),
 		item(RuleKind, "*/*/*#worth#r", 1, n(Default, 1)), item(RuleKind, "*/*/*/x#worth#r", 1, n(Default, 2))}
 	s := mustMerge(t, items)
-	above, _ := get[*rule](s, RuleKind, "*/*/*#worth#r")
-	below, _ := get[*rule](s, RuleKind, "*/*/*/x#worth#r")
+	above, _ := lookupValue[*rule](s, RuleKind, "*/*/*#worth#r")
+	below, _ := lookupValue[*rule](s, RuleKind, "*/*/*/x#worth#r")
 	s = mustMerge(t, append(items, item(DecisionKind, PairKey(above.Key, below.Key), 1,
-		Decision{A: above.Key, B: below.Key, ASum: digest(above), BSum: digest(below), Pick: above.Key})))
+		Decision{A: above.Key, B: below.Key, ASum: ruleDigest(above), BSum: ruleDigest(below), Pick: above.Key})))
 	if v := Compile(s, 1).Lookup(&Call{Class: "k", Path: "/x"}, 0); v.Worth != 2 {
 		t.Fatalf("%+v", v)
 	}
--- a/internal/rules/limits_test.go
+++ b/internal/rules/limits_test.go
@@ -44,7 +44,7 @@
 		`{"mode":"default","value":1,"cut":{"among":2,"mode":"reserve","share":1}}`:          "not in the one form",
 		`{"mode":"default","value":1,"cut":{"mode":"reserve","share":1,"among":1,"of":"x"}}`: "unknown field",
 	} {
-		_, err := canonical(RuleKind, "*/*/*#rate#r", []byte(`{"now":`+value+`}`))
+		_, err := canonicalValue(RuleKind, "*/*/*#rate#r", []byte(`{"now":`+value+`}`))
 		if got := "fine"; err != nil {
 			got = err.Error()
 			if want == "" || !strings.Contains(got, want) {
@@ -54,7 +54,7 @@
 			t.Errorf("%s: no %q", value, want)
 		}
 	}
-	if _, err := canonical(RuleKind, "*/*/*#worth#r", []byte(`{"now":{"mode":"default","value":1,"cut":{"mode":"open"}}}`)); err == nil {
+	if _, err := canonicalValue(RuleKind, "*/*/*#worth#r", []byte(`{"now":{"mode":"default","value":1,"cut":{"mode":"open"}}}`)); err == nil {
 		t.Error("worth has a cut")
 	}
 }
--- a/internal/rules/lookup.go
+++ b/internal/rules/lookup.go
@@ -8,17 +8,20 @@
 	"burlpass/internal/record"
 )
 
-// places find the namespaces that a call is in: a trie of path segments for each triple of island, hall and class that there is.
-type places struct {
-	islands, halls, classes, segments map[string]uint32 // numbers from 1; 0 is any
-	tries                             map[uint64]int32
-	steps                             map[uint64]int32 // a trie's node << 32 | a segment
-	spaces                            []int32          // by a trie's node: the namespace there, -1 for none
+// namespaceIndex finds the namespaces that match a call. It has a trie of path segments for each combination of
+// island, zone and class that occurs.
+type namespaceIndex struct {
+	islands, zones, classes, segments map[string]uint32 // IDs of names, from 1; 0 stands for any
+	roots                             map[uint64]int32
+	children                          map[uint64]int32 // by trie node << 32 | segment ID
+	namespaces                        []int32          // by trie node: the namespace there, -1 for none
 }
 
-func newPlaces(order []*node) *places {
-	p := &places{islands: map[string]uint32{}, halls: map[string]uint32{}, classes: map[string]uint32{}, segments: map[string]uint32{},
-		tries: map[uint64]int32{}, steps: map[uint64]int32{}}
+func newNamespaceIndex(preorder []*node) *namespaceIndex {
+	p := &namespaceIndex{
+		islands: map[string]uint32{}, zones: map[string]uint32{}, classes: map[string]uint32{}, segments: map[string]uint32{},
+		roots: map[uint64]int32{}, children: map[uint64]int32{},
+	}
 	number := func(m map[string]uint32, s string) uint32 {
 		if s == "" {
 			return 0
@@ -28,49 +31,50 @@
 		}
 		return m[s]
 	}
-	step := func(m map[uint64]int32, key uint64) int32 {
-		at, ok := m[key]
+	childNode := func(m map[uint64]int32, key uint64) int32 {
+		trieNode, ok := m[key]
 		if !ok {
-			at = int32(len(p.spaces))
-			p.spaces = append(p.spaces, -1)
-			m[key] = at
+			trieNode = int32(len(p.namespaces))
+			p.namespaces = append(p.namespaces, -1)
+			m[key] = trieNode
 		}
-		return at
+		return trieNode
 	}
-	for i, n := range order {
-		at := step(p.tries, triple(number(p.islands, n.Island), number(p.halls, n.Hall), number(p.classes, n.Class)))
+	for i, n := range preorder {
+		trieNode := childNode(p.roots, rootKey(number(p.islands, n.Island), number(p.zones, n.Hall), number(p.classes, n.Class)))
 		for s := range strings.SplitSeq(strings.TrimPrefix(n.Path, "/"), "/") {
 			if s != "" {
-				at = step(p.steps, uint64(at)<<32|uint64(number(p.segments, s)))
+				trieNode = childNode(p.children, uint64(trieNode)<<32|uint64(number(p.segments, s)))
 			}
 		}
-		p.spaces[at] = int32(i)
+		p.namespaces[trieNode] = int32(i)
 	}
 	return p
 }
 
-func triple(island, hall, class uint32) uint64 {
-	return uint64(island)<<42 | uint64(hall)<<21 | uint64(class)
+func rootKey(island, zone, class uint32) uint64 {
+	return uint64(island)<<42 | uint64(zone)<<21 | uint64(class)
 }
 
-// found is room for all namespaces that a call can be in: eight triples, and a path's prefixes.
-type found struct {
-	at [8 * (maxSegments + 1)]int32
-	n  int
+// matchList holds the namespaces that match a call. It has room for the maximum: eight combinations of island,
+// zone and class, times the prefixes of a path.
+type matchList struct {
+	nodes [8 * (maxSegments + 1)]int32
+	count int
 }
 
-// add keeps the places in the tree's order.
-func (f *found) add(space int32) {
-	i := f.n
-	for ; i > 0 && f.at[i-1] > space; i-- {
-		f.at[i] = f.at[i-1]
+// add inserts a namespace and keeps the list in the order of the tree.
+func (f *matchList) add(node int32) {
+	i := f.count
+	for ; i > 0 && f.nodes[i-1] > node; i-- {
+		f.nodes[i] = f.nodes[i-1]
 	}
-	f.at[i] = space
-	f.n++
+	f.nodes[i] = node
+	f.count++
 }
 
-func (p *places) find(c *Call, into *found) {
-	island, hall, class := p.islands[c.Island], p.halls[c.Hall], p.classes[c.Class]
+func (p *namespaceIndex) match(c *Call, matches *matchList) {
+	island, zone, class := p.islands[c.Island], p.zones[c.Hall], p.classes[c.Class]
 	var path [maxSegments]uint32
 	depth := 0
 	for rest := c.Path; depth < maxSegments && len(rest) > 1 && rest[0] == '/'; depth++ {
@@ -83,119 +87,121 @@
 			break
 		}
 	}
-	for open := range uint32(8) { // which of the three are any
-		i, h, k := island, hall, class
-		if open&1 != 0 {
+	for wildcards := range uint32(8) { // bit mask: which of island, zone and class are any
+		i, z, k := island, zone, class
+		if wildcards&1 != 0 {
 			i = 0
 		} else if i == 0 {
 			continue
 		}
-		if open&2 != 0 {
-			h = 0
-		} else if h == 0 {
+		if wildcards&2 != 0 {
+			z = 0
+		} else if z == 0 {
 			continue
 		}
-		if open&4 != 0 {
+		if wildcards&4 != 0 {
 			k = 0
 		} else if k == 0 {
 			continue
 		}
-		at, ok := p.tries[triple(i, h, k)]
+		trieNode, ok := p.roots[rootKey(i, z, k)]
 		for d := 0; ok; d++ {
-			if space := p.spaces[at]; space >= 0 {
-				into.add(space)
+			if node := p.namespaces[trieNode]; node >= 0 {
+				matches.add(node)
 			}
 			if d == depth {
 				break
 			}
-			at, ok = p.steps[uint64(at)<<32|uint64(path[d])]
+			trieNode, ok = p.children[uint64(trieNode)<<32|uint64(path[d])]
 		}
 	}
 }
 
-// Verdict is what holds for one call.
+// Verdict is what the rules prescribe for a call.
 type Verdict struct {
 	Version  record.Version
-	Allowed  bool          // its caller may call
-	Attempts int64         // at most; 0: nothing is said
-	Repeat   bool          // it may be sent again, as far as rules and the class's law go
-	Deadline time.Duration // the client's, or less
-	Worth    int64         // -1: nothing is said
-	Rate     Limit         // counted by it, and by those that Table.Limit gives next
+	Allowed  bool          // the caller is allowed
+	Attempts int64         // maximum; 0 if there is none
+	Repeat   bool          // the rules and the class allow the call to be sent again
+	Deadline time.Duration // the client's deadline, or a shorter one
+	Worth    int64         // -1 if no rule sets it
+	Rate     Limit         // the first limit that counts the call; Table.Limit returns the next one
 	Calls    Limit
 }
 
-// Limit names a limit in its table; NoLimit is none.
+// Limit identifies a limit within its table; NoLimit stands for none.
 type Limit int32
 
-// NoLimit is the end of a call's limits.
+// NoLimit marks the end of the limits of a call.
 const NoLimit Limit = -1
 
-// Lookup says what holds for a call whose client waits for deadline. It allocates nothing.
+// Lookup returns what applies to a call whose client waits for deadline. It does not allocate.
 func (t *Table) Lookup(c *Call, deadline time.Duration) Verdict {
-	var f found
-	t.finder.find(c, &f)
-	leaves := t.leaves(&f)
-	v := Verdict{Version: t.version, Allowed: true, Repeat: true, Deadline: deadline, Worth: -1, Rate: NoLimit, Calls: NoLimit}
-	if l, ok := t.laws[c.Class]; ok {
-		v.Attempts, v.Repeat = l.attempts, l.repeat
+	var matches matchList
+	t.namespaces.match(c, &matches)
+	specific := t.mostSpecific(&matches)
+	verdict := Verdict{Version: t.version, Allowed: true, Repeat: true, Deadline: deadline, Worth: -1, Rate: NoLimit, Calls: NoLimit}
+	if limits, ok := t.classes[c.Class]; ok {
+		verdict.Attempts, verdict.Repeat = limits.attempts, limits.repeat
 	}
-	for set := range settings {
-		at := t.holding(leaves, set)
-		if at < 0 {
+	for setting := range settingCount {
+		slotIndex := t.effectiveSlot(specific, setting)
+		if slotIndex < 0 {
 			continue
 		}
-		s := &t.slots[at]
-		switch set {
+		effective := &t.slots[slotIndex]
+		switch setting {
 		case 0:
-			v.Rate = Limit(at)
+			verdict.Rate = Limit(slotIndex)
 		case 1:
-			v.Calls = Limit(at)
+			verdict.Calls = Limit(slotIndex)
 		case 2:
-			if v.Attempts == 0 || s.n < v.Attempts {
-				v.Attempts = s.n
+			if verdict.Attempts == 0 || effective.amount < verdict.Attempts {
+				verdict.Attempts = effective.amount
 			}
 		case 3:
-			v.Repeat = v.Repeat && s.n == 1
+			verdict.Repeat = verdict.Repeat && effective.amount == 1
 		case 4:
-			v.Deadline = min(v.Deadline, time.Duration(s.n)*time.Millisecond)
+			verdict.Deadline = min(verdict.Deadline, time.Duration(effective.amount)*time.Millisecond)
 		case 5:
-			v.Worth = s.n
+			verdict.Worth = effective.amount
 		case 6:
-			_, v.Allowed = slices.BinarySearch(s.value.Callers, c.Caller)
+			_, verdict.Allowed = slices.BinarySearch(effective.value.Callers, c.Caller)
 		}
 	}
-	return v
+	return verdict
 }
 
-// Holding is the key of the rule that holds for a call in one setting, "" where none does.
+// Holding returns the key of the rule that is effective for a call and a setting, "" if there is none.
 func (t *Table) Holding(c *Call, setting Setting) string {
-	var f found
-	t.finder.find(c, &f)
-	if at := t.holding(t.leaves(&f), setting.number()); at >= 0 {
-		return t.slots[at].rule.Key
+	var matches matchList
+	t.namespaces.match(c, &matches)
+	if slotIndex := t.effectiveSlot(t.mostSpecific(&matches), setting.index()); slotIndex >= 0 {
+		return t.slots[slotIndex].rule.Key
 	}
 	return ""
 }
 
-// leaves are the namespaces that have no other one below them that matches too: what is above says nothing that they have not from it.
-func (t *Table) leaves(f *found) []int32 {
-	leaves := f.at[:0]
-	for i, at := range f.at[:f.n] {
-		if i+1 == f.n || f.at[i+1] >= t.spans[at].out {
-			leaves = append(leaves, at)
+// mostSpecific returns the matching namespaces that have no matching descendant. The others can be ignored, since
+// a namespace inherits from its ancestors. The result reuses the memory of the list.
+func (t *Table) mostSpecific(matches *matchList) []int32 {
+	leaves := matches.nodes[:0]
+	for i, node := range matches.nodes[:matches.count] {
+		if i+1 == matches.count || matches.nodes[i+1] >= t.spans[node].end {
+			leaves = append(leaves, node)
 		}
 	}
 	return leaves
 }
 
-// holding is the slot that holds of those at peers, -1 for none: one over which no other does, the strictest of them.
-func (t *Table) holding(leaves []int32, set int) int32 {
+// effectiveSlot returns the slot that applies to a call with these most specific namespaces, -1 if there is none.
+// It is one that is not overruled, the strictest if there are several.
+func (t *Table) effectiveSlot(specific []int32, setting int) int32 {
 	best, several := int32(-1), false
-	for _, n := range leaves {
-		if at := t.holds[int(n)*settings+set]; at >= 0 && at != best {
+	for _, node := range specific {
+		if candidate := t.effective[int(node)*settingCount+setting]; candidate >= 0 && candidate != best {
 			several = best >= 0
-			if best = at; several {
+			if best = candidate; several {
 				break
 			}
 		}
@@ -204,14 +210,15 @@
 		return best
 	}
 	best = -1
-	for _, free := range [...]bool{true, false} { // none is free where decisions go round, which a write cannot bring about
-		for _, n := range leaves {
-			at := t.holds[int(n)*settings+set]
-			if at < 0 || at == best || free && t.beaten(at, leaves, set) {
+	// All slots are overruled only in a cycle of decisions, which no accepted write causes.
+	for _, skipOverruled := range [...]bool{true, false} {
+		for _, node := range specific {
+			candidate := t.effective[int(node)*settingCount+setting]
+			if candidate < 0 || candidate == best || skipOverruled && t.isOverruled(candidate, specific, setting) {
 				continue
 			}
-			if best < 0 || order(t.slots[at].value, t.slots[best].value) < 0 {
-				best = at
+			if best < 0 || compareValues(t.slots[candidate].value, t.slots[best].value) < 0 {
+				best = candidate
 			}
 		}
 		if best >= 0 {
@@ -221,23 +228,25 @@
 	return best
 }
 
-// beaten tells whether another slot stands above one, or is decided to hold over it.
-func (t *Table) beaten(at int32, leaves []int32, set int) bool {
-	mine := t.spans[at/settings]
-	for _, n := range leaves {
-		other := t.holds[int(n)*settings+set]
-		if other < 0 || other == at {
+// isOverruled reports whether another of the slots is at a descendant of the slot's namespace, or wins against it
+// by a decision.
+func (t *Table) isOverruled(slotIndex int32, specific []int32, setting int) bool {
+	own := t.spans[slotIndex/settingCount]
+	for _, node := range specific {
+		other := t.effective[int(node)*settingCount+setting]
+		if other < 0 || other == slotIndex {
 			continue
 		}
-		if in := other / settings; mine.in < in && in < mine.out || t.beats[int64(other)<<32|int64(at)] {
+		if otherNode := other / settingCount; own.start < otherNode && otherNode < own.end ||
+			t.precedence[int64(other)<<32|int64(slotIndex)] {
 			return true
 		}
 	}
 	return false
 }
 
-// Limit gives a limit's rule, its value in the setting's unit, and the next limit that counts the same call.
+// Limit returns the rule of a limit, its amount in the setting's unit, and the next limit that counts the same call.
 func (t *Table) Limit(l Limit) (rule string, value int64, next Limit) {
 	s := &t.slots[l]
-	return s.rule.Key, s.n, Limit(s.next)
+	return s.rule.Key, s.amount, Limit(s.parentLimit)
 }
--- a/internal/rules/mayset.go
+++ b/internal/rules/mayset.go
@@ -4,169 +4,174 @@
 	"fmt"
 )
 
-// aTeam: the root's owner makes teams; a team may dissolve itself.
-func (c *checker) aTeam(key string, will any) string {
-	root := c.was.rootOwner()
+// checkTeamChange allows the owner of the root to change any team, and a team to dissolve itself.
+func (c *checker) checkTeamChange(key string, newValue any) string {
+	root := c.before.rootOwner()
 	if root == "" {
-		root = c.will.rootOwner() // the first write of all
+		root = c.after.rootOwner() // the very first write
 	}
-	if t, ok := will.(*Team); ok && t.Dissolved {
-		return c.mayBe(root, key)
+	if t, ok := newValue.(*Team); ok && t.Dissolved {
+		return c.requireTeam(root, key)
 	}
-	return c.mayBe(root)
+	return c.requireTeam(root)
 }
 
-func (c *checker) aNamespace(key string, was, will any) string {
-	old, _ := was.(*space)
-	now, _ := will.(*space)
+func (c *checker) checkNamespaceChange(key string, oldValue, newValue any) string {
+	old, _ := oldValue.(*namespace)
+	now, _ := newValue.(*namespace)
 	if now == nil {
-		return c.mayBe(c.was.owner(c.was.nodes[key]))
+		return c.requireTeam(c.before.activeOwner(c.before.nodes[key]))
 	}
 	if (now.Parent == "") != (key == Selector{}.String()) {
 		return "parent: the root has none, and every other namespace has one"
 	}
-	n := c.will.nodes[key]
+	n := c.after.nodes[key]
 	if old == nil || old.Parent != now.Parent {
-		if n.up != nil {
-			if why := nearest(n); why != "" {
-				return why
+		if n.parentNode != nil {
+			if fault := checkNearestParent(n); fault != "" {
+				return fault
 			}
 		}
 	}
-	if (old == nil || old.Owner != now.Owner) && !c.will.lives(now.Owner) {
+	if (old == nil || old.Owner != now.Owner) && !c.after.isActiveTeam(now.Owner) {
 		return fmt.Sprintf("owner: team %s is not there, or is dissolved", now.Owner)
 	}
 	switch {
-	case n.up == nil && old == nil:
-		return c.mayBe(now.Owner) // the first write of all
+	case n.parentNode == nil && old == nil:
+		return c.requireTeam(now.Owner) // the very first write
 	case old == nil:
-		return c.mayBe(c.owned(n.up))
+		return c.requireTeam(c.ownerBeforeWrite(n.parentNode))
 	case old.Parent == now.Parent:
-		return c.mayBe(c.was.owner(c.was.nodes[key]))
+		return c.requireTeam(c.before.activeOwner(c.before.nodes[key]))
 	}
-	// It moves: below one that its parent's owner has put between, or has.
+	// The namespace moves below another parent, possibly one that is created in the same write. The owner of the
+	// old parent may do this if it also owns the new one.
 	if old.Owner != now.Owner {
 		return "a namespace is moved, or given to another team; both at once is for two writes"
 	}
-	if why := c.mayBe(c.was.owner(c.was.nodes[old.Parent])); why != "" {
-		return why
+	if fault := c.requireTeam(c.before.activeOwner(c.before.nodes[old.Parent])); fault != "" {
+		return fault
 	}
-	return c.mayBe(c.owned(n.up))
+	return c.requireTeam(c.ownerBeforeWrite(n.parentNode))
 }
 
-// owned is who owns a namespace: before the write, or for a new one who owns the nearest above it that was there.
-func (c *checker) owned(n *node) string {
-	for ; n != nil; n = n.up {
-		if old := c.was.nodes[n.key]; old != nil {
-			return c.was.owner(old)
+// ownerBeforeWrite returns the team that owned a namespace before the write, or its nearest ancestor that existed then.
+func (c *checker) ownerBeforeWrite(n *node) string {
+	for ; n != nil; n = n.parentNode {
+		if before := c.before.nodes[n.key]; before != nil {
+			return c.before.activeOwner(before)
 		}
 	}
-	return c.will.rootOwner() // the first write of all
+	return c.after.rootOwner() // the very first write
 }
 
-// nearest wants no other namespace to stand between one and its parent.
-func nearest(n *node) string {
-	for _, m := range n.up.down {
-		if m == n {
+// checkNearestParent requires that no sibling contains the namespace, which would be its nearer parent, or is
+// contained in it.
+func checkNearestParent(n *node) string {
+	for _, sibling := range n.parentNode.children {
+		if sibling == n {
 			continue
 		}
-		if m.Contains(n.Selector) {
-			return fmt.Sprintf("parent: %s contains it, and is below %s", m.key, n.up.key)
+		if sibling.Contains(n.Selector) {
+			return fmt.Sprintf("parent: %s contains it, and is below %s", sibling.key, n.parentNode.key)
 		}
-		if n.Contains(m.Selector) {
-			return fmt.Sprintf("it contains %s, which must be put below it in the same write", m.key)
+		if n.Contains(sibling.Selector) {
+			return fmt.Sprintf("it contains %s, which must be put below it in the same write", sibling.key)
 		}
 	}
 	return ""
 }
 
-func (c *checker) aGrant(was, will any) string {
-	old, _ := was.(*grant)
-	now, _ := will.(*grant)
+func (c *checker) checkGrantChange(oldValue, newValue any) string {
+	old, _ := oldValue.(*grant)
+	now, _ := newValue.(*grant)
 	if now == nil {
-		return c.mayBe(c.was.giver(old), c.was.owner(c.was.nodes[old.In]))
+		return c.requireTeam(c.before.grantor(old), c.before.activeOwner(c.before.nodes[old.In]))
 	}
 	if old != nil {
-		if why := c.mayBe(c.was.giver(old)); why != "" {
-			return why
+		if fault := c.requireTeam(c.before.grantor(old)); fault != "" {
+			return fault
 		}
 	}
-	if (old == nil || old.To != now.To) && !c.will.lives(now.To) {
+	if (old == nil || old.To != now.To) && !c.after.isActiveTeam(now.To) {
 		return fmt.Sprintf("to: team %s is not there, or is dissolved", now.To)
 	}
 	if now.Under != "" {
-		above, ok := get[*grant](c.will, GrantKind, now.Under)
+		parent, ok := lookupValue[*grant](c.after, GrantKind, now.Under)
 		if !ok {
 			return fmt.Sprintf("under: grant %s is not there", now.Under)
 		}
-		if _, meet := above.in.Meet(now.in); !meet {
+		if _, overlap := parent.selector.Meet(now.selector); !overlap {
 			return fmt.Sprintf("in: it has no call in common with grant %s under it", now.Under)
 		}
 	}
-	if c.will.giver(now) == now.To {
+	if c.after.grantor(now) == now.To {
 		return "to: it has what is to be given"
 	}
-	return c.mayBe(c.will.giver(now))
+	return c.requireTeam(c.after.grantor(now))
 }
 
-func (c *checker) aRule(was, will any) string {
-	old, _ := was.(*rule)
-	now, _ := will.(*rule)
+func (c *checker) checkRuleChange(oldValue, newValue any) string {
+	old, _ := oldValue.(*rule)
+	now, _ := newValue.(*rule)
 	if now == nil {
-		return c.mayBe(c.was.ruler(old), c.was.owner(c.was.node(old)), c.over(old))
+		return c.requireTeam(c.before.ruleOwner(old), c.before.activeOwner(c.before.ruleNode(old)), c.ruleGrantor(old))
 	}
-	n := c.will.node(now)
+	n := c.after.ruleNode(now)
 	if n == nil {
 		return "its namespace is not there"
 	}
 	if now.Under != "" {
-		g, ok := get[*grant](c.will, GrantKind, now.Under)
+		g, ok := lookupValue[*grant](c.after, GrantKind, now.Under)
 		if !ok {
 			return fmt.Sprintf("under: grant %s is not there", now.Under)
 		}
-		if _, meet := g.in.Meet(now.In); !meet {
+		if _, overlap := g.selector.Meet(now.In); !overlap {
 			return fmt.Sprintf("under: grant %s is for another namespace", now.Under)
 		}
 	}
-	if now.Share != nil && c.will.ground(n, now.Setting.number()) == nil {
-		if n := c.was.nodes[n.key]; n == nil || c.was.ground(n, now.Setting.number()) == nil {
+	if now.Share != nil && c.after.parentLimit(n, now.Setting.index()) == nil {
+		if n := c.before.nodes[n.key]; n == nil || c.before.parentLimit(n, now.Setting.index()) == nil {
 			return "share: no namespace above has a limit"
 		}
 	}
 	if old != nil {
-		if why := c.mayBe(c.was.ruler(old), c.was.owner(c.was.node(old))); why != "" {
-			return why
+		if fault := c.requireTeam(c.before.ruleOwner(old), c.before.activeOwner(c.before.ruleNode(old))); fault != "" {
+			return fault
 		}
 	}
-	return c.mayBe(c.will.ruler(now))
+	return c.requireTeam(c.after.ruleOwner(now))
 }
 
-// over is who gave the grant by which a rule is written: withdrawing it, the rules that rest on it can go in the same write.
-func (c *checker) over(r *rule) string {
-	if g, ok := get[*grant](c.was, GrantKind, r.Under); ok {
-		return c.was.giver(g)
+// ruleGrantor returns the team that gave the grant of a rule, or the owner of a rule without one. It may remove
+// the rule, so that it can withdraw the grant and the rules that depend on it in one write.
+func (c *checker) ruleGrantor(r *rule) string {
+	if g, ok := lookupValue[*grant](c.before, GrantKind, r.Under); ok {
+		return c.before.grantor(g)
 	}
-	return c.was.ruler(r)
+	return c.before.ruleOwner(r)
 }
 
-// aDecision: it may be made before the rules have the values that it is for, since what it lets in is refused until then.
-func (c *checker) aDecision(was, will any) string {
-	now, _ := will.(*Decision)
-	s := c.will
+// checkDecisionChange allows a decision before the rules have the values that it is made for. It has to come
+// first, since rules with those values are refused without it.
+func (c *checker) checkDecisionChange(oldValue, newValue any) string {
+	now, _ := newValue.(*Decision)
+	s := c.after
 	if now == nil {
-		now, s = was.(*Decision), c.was
+		now, s = oldValue.(*Decision), c.before
 	}
 	a, errA := ParseRuleKey(now.A)
 	b, errB := ParseRuleKey(now.B)
-	na, nb := s.nodes[a.In.String()], s.nodes[b.In.String()]
-	if errA != nil || errB != nil || na == nil || nb == nil {
-		if will == nil { // it decides nothing any more
+	nodeA, nodeB := s.nodes[a.In.String()], s.nodes[b.In.String()]
+	if errA != nil || errB != nil || nodeA == nil || nodeB == nil {
+		if newValue == nil { // the decision has no effect any more: any active team may remove it
 			return ""
 		}
 		return "a, b: there is no such namespace or setting"
 	}
-	if _, meet := a.In.Meet(b.In); will != nil && (a.Setting != b.Setting || !meet || na.above(nb) || nb.above(na)) {
+	if _, overlap := a.In.Meet(b.In); newValue != nil &&
+		(a.Setting != b.Setting || !overlap || nodeA.isAncestorOf(nodeB) || nodeB.isAncestorOf(nodeA)) {
 		return "they are not peers that set one thing for one call: there is nothing to decide"
 	}
-	return c.mayBe(s.owner(common(na, nb)))
+	return c.requireTeam(s.activeOwner(commonAncestor(nodeA, nodeB)))
 }
--- a/internal/rules/properties_test.go
+++ b/internal/rules/properties_test.go
@@ -16,13 +16,13 @@
 )
 
 // placeOf says where a side's item is.
-func (s *State) placeOf(side Side) (string, bool) {
+func (state *State) placeOf(side Side) (string, bool) {
 	switch side.Kind {
 	case RuleKind:
 		k, _ := ParseRuleKey(side.Key)
 		return k.In.String(), true
 	case GrantKind:
-		if g, ok := get[*grant](s, GrantKind, side.Key); ok {
+		if g, ok := lookupValue[*grant](state, GrantKind, side.Key); ok {
 			return g.Grant.In, true
 		}
 	case ClassKind:
@@ -89,14 +89,14 @@
 			t.Fatal(err)
 		}
 		spaces := []string{}
-		for _, n := range was.order {
+		for _, n := range was.preorder {
 			spaces = append(spaces, n.key)
 		}
 		table := Compile(was, 0)
 		for version := range record.Version(rapid.IntRange(1, 14).Draw(t, "writes")) {
 			w := &record.Write{Base: version}
 			keys := []string{}
-			for _, r := range all[*rule](was, RuleKind) {
+			for _, r := range valuesOf[*rule](was, RuleKind) {
 				keys = append(keys, r.Key)
 			}
 			for range rapid.IntRange(1, 2).Draw(t, "changes") {
@@ -116,10 +116,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			narrow := &finder{s: will, was: was, env: retired(), found: map[string]Conflict{}}
-			narrow.around(was, w.Changes)
-			whole := &finder{s: will, was: was, env: retired(), found: map[string]Conflict{}}
-			whole.everything()
+			narrow := &conflictFinder{state: will, before: was, env: retired(), conflicts: map[string]Conflict{}}
+			narrow.findAffected(was, w.Changes)
+			whole := &conflictFinder{state: will, before: was, env: retired(), conflicts: map[string]Conflict{}}
+			whole.findAll()
 			if d := cmp.Diff(whole.sorted(), narrow.sorted()); d != "" {
 				t.Fatalf("%s\n%s", w.Changes, d)
 			}
@@ -127,7 +127,7 @@
 			if d := cmp.Diff(string(Compile(will, version+1).Bytes()), string(next.Bytes())); d != "" {
 				t.Fatal(d)
 			}
-			if len(whole.found) > 0 {
+			if len(whole.conflicts) > 0 {
 				refused++
 				continue
 			}
@@ -185,15 +185,15 @@
 	clear := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := mustMergeIn(t, drawItems(t))
-		table, ref := Compile(s, 1), &reference{s: s, calls: universe(), rules: all[*rule](s, RuleKind)}
+		table, ref := Compile(s, 1), &reference{s: s, calls: universe(), rules: valuesOf[*rule](s, RuleKind)}
 		sound := len(s.Conflicts(Env{})) == 0
 		ref.bounds(t, table)
 		for _, c := range ref.calls {
 			v := table.Lookup(&c, time.Hour)
 			holds := map[Setting]*rule{}
 			for _, r := range ref.rules {
-				if holds[r.Setting] == nil && matches(r.at, c) && !slices.ContainsFunc(ref.rules, func(q *rule) bool {
-					return matches(q.at, c) && ref.over(q, r)
+				if holds[r.Setting] == nil && matches(r.namespaceKey, c) && !slices.ContainsFunc(ref.rules, func(q *rule) bool {
+					return matches(q.namespaceKey, c) && ref.over(q, r)
 				}) {
 					holds[r.Setting] = r
 				}
@@ -230,7 +230,7 @@
 			continue
 		}
 		for _, q := range r.rules {
-			if q.Mode == Default || q.Setting != sl.rule.Setting || r.loses(q) || !slices.Contains(r.ups(sl.rule.at), q.at) {
+			if q.Mode == Default || q.Setting != sl.rule.Setting || r.loses(q) || !slices.Contains(r.ups(sl.rule.namespaceKey), q.namespaceKey) {
 				continue
 			}
 			most := q.Value
@@ -239,8 +239,8 @@
 					most = Value{N: &n}
 				}
 			}
-			if most.Share == nil && looser(sl.value, most) {
-				t.Fatalf("%s gives %s, looser than %s", sl.rule.Key, text(q.Setting, sl.value), q.Key)
+			if most.Share == nil && isLooser(sl.value, most) {
+				t.Fatalf("%s gives %s, looser than %s", sl.rule.Key, formatValue(q.Setting, sl.value), q.Key)
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 	}
 	if holds != nil {
 		want = append(want, holds.Key)
-		for _, up := range r.ups(holds.at) {
+		for _, up := range r.ups(holds.namespaceKey) {
 			if q := r.own(up, Rate); q != nil && q.Mode == Bound {
 				want = append(want, q.Key)
 			}
@@ -277,6 +277,6 @@
 }
 
 func (r *reference) byKey(key string) *rule {
-	q, _ := get[*rule](r.s, RuleKind, key)
+	q, _ := lookupValue[*rule](r.s, RuleKind, key)
 	return q
 }
--- a/internal/rules/reference_test.go
+++ b/internal/rules/reference_test.go
@@ -16,7 +16,7 @@
 }
 
 func referenceOf(s *State) map[string]bool {
-	r := &reference{s: s, calls: universe(), rules: all[*rule](s, RuleKind), out: map[string]bool{}}
+	r := &reference{s: s, calls: universe(), rules: valuesOf[*rule](s, RuleKind), out: map[string]bool{}}
 	r.vertical()
 	r.pairs()
 	r.addUp()
@@ -30,7 +30,7 @@
 // ups are the namespaces above one, the nearest first.
 func (r *reference) ups(key string) (out []string) {
 	for {
-		n, ok := get[*space](r.s, NamespaceKind, key)
+		n, ok := lookupValue[*namespace](r.s, NamespaceKind, key)
 		if !ok || n.Parent == "" {
 			return out
 		}
@@ -41,8 +41,8 @@
 
 func (r *reference) owner(of string) string {
 	for _, key := range append([]string{of}, r.ups(of)...) {
-		n, _ := get[*space](r.s, NamespaceKind, key)
-		if t, ok := get[*Team](r.s, TeamKind, n.Owner); ok && !t.Dissolved {
+		n, _ := lookupValue[*namespace](r.s, NamespaceKind, key)
+		if t, ok := lookupValue[*Team](r.s, TeamKind, n.Owner); ok && !t.Dissolved {
 			return n.Owner
 		}
 	}
@@ -50,19 +50,19 @@
 }
 
 func (r *reference) ruler(q *rule) string {
-	under, none := q.Under, q.at
+	under, none := q.Under, q.namespaceKey
 	for i := range 9 {
-		g, ok := get[*grant](r.s, GrantKind, under)
+		g, ok := lookupValue[*grant](r.s, GrantKind, under)
 		if !ok {
 			break
 		}
 		if i == 0 {
 			none = g.In // in a circle of dissolved teams
 		}
-		if t, _ := get[*Team](r.s, TeamKind, g.To); !t.Dissolved {
+		if t, _ := lookupValue[*Team](r.s, TeamKind, g.To); !t.Dissolved {
 			return g.To
 		}
-		if up, ok := get[*grant](r.s, GrantKind, g.Under); !ok {
+		if up, ok := lookupValue[*grant](r.s, GrantKind, g.Under); !ok {
 			return r.owner(g.In)
 		} else {
 			under = up.Key
@@ -91,7 +91,7 @@
 }
 
 func (r *reference) limitAbove(q *rule) *rule {
-	for _, up := range r.ups(q.at) {
+	for _, up := range r.ups(q.namespaceKey) {
 		if p := r.own(up, q.Setting); p != nil {
 			return p
 		}
@@ -101,19 +101,19 @@
 
 // over: where both match, a holds and not b.
 func (r *reference) over(a, b *rule) bool {
-	return a.Setting == b.Setting && r.rank(a, b) == 1 && (r.contradict(a, b) || slices.Contains(r.ups(a.at), b.at))
+	return a.Setting == b.Setting && r.rank(a, b) == 1 && (r.contradict(a, b) || slices.Contains(r.ups(a.namespaceKey), b.namespaceKey))
 }
 
 // loses: another one at its namespace holds in its place.
 func (r *reference) loses(q *rule) bool {
-	return slices.ContainsFunc(r.rules, func(p *rule) bool { return p.at == q.at && r.over(p, q) })
+	return slices.ContainsFunc(r.rules, func(p *rule) bool { return p.namespaceKey == q.namespaceKey && r.over(p, q) })
 }
 
 // own is what holds at a namespace: of those that do not lose the strictest, the least open, the first.
 func (r *reference) own(space string, s Setting) (best *rule) {
 	for _, lost := range []bool{false, true} {
 		for _, q := range r.rules {
-			if q.at != space || q.Setting != s || r.loses(q) != lost {
+			if q.namespaceKey != space || q.Setting != s || r.loses(q) != lost {
 				continue
 			}
 			if best == nil || r.score(q) < r.score(best) {
@@ -139,7 +139,7 @@
 
 func (r *reference) looser(a, b *rule) bool {
 	if a.Setting == Callers {
-		return looser(a.Value, b.Value)
+		return isLooser(a.Value, b.Value)
 	}
 	x, y := r.value(a), r.value(b)
 	return x >= 0 && y >= 0 && x > y
@@ -148,7 +148,7 @@
 func (r *reference) vertical() {
 	for _, a := range r.rules {
 		for _, b := range r.rules {
-			if a.Setting != b.Setting || !slices.Contains(r.ups(a.at), b.at) || r.loses(b) {
+			if a.Setting != b.Setting || !slices.Contains(r.ups(a.namespaceKey), b.namespaceKey) || r.loses(b) {
 				continue
 			}
 			if b.Mode == Locked {
@@ -160,7 +160,7 @@
 		if a.In.Class == "k" && a.Setting == Attempts && *a.N > 2 {
 			r.say(Looser, a.Key, "k")
 		}
-		if a.Needs == "v1" && r.meet(a.at, "*/*/l") {
+		if a.Needs == "v1" && r.meet(a.namespaceKey, "*/*/l") {
 			r.say(Retired, a.Key, "end-v1")
 		}
 		if a.Share != nil && r.limitAbove(a) == nil {
@@ -174,12 +174,12 @@
 	if a.Under == "" {
 		return
 	}
-	g, ok := get[*grant](r.s, GrantKind, a.Under)
+	g, ok := lookupValue[*grant](r.s, GrantKind, a.Under)
 	switch {
 	case !ok:
 		r.say(Withdrawn, a.Key, a.Under)
-	case !r.meet(a.at, g.In):
-	case !slices.Contains(append(r.ups(a.at), a.at), g.In), len(g.Settings) > 0 && !slices.Contains(g.Settings, a.Setting):
+	case !r.meet(a.namespaceKey, g.In):
+	case !slices.Contains(append(r.ups(a.namespaceKey), a.namespaceKey), g.In), len(g.Settings) > 0 && !slices.Contains(g.Settings, a.Setting):
 		r.say(Withdrawn, a.Key, g.Key)
 	case len(g.Caps) > 0 && a.Setting == Attempts && *a.N > *g.Caps[0].N:
 		r.say(Looser, a.Key, g.Key)
@@ -188,15 +188,15 @@
 
 // rank is 1 where a holds over b, -1 where b does over a, 0 where nothing says so.
 func (r *reference) rank(a, b *rule) int {
-	if slices.Contains(r.ups(a.at), b.at) {
+	if slices.Contains(r.ups(a.namespaceKey), b.namespaceKey) {
 		return 1
 	}
-	if slices.Contains(r.ups(b.at), a.at) {
+	if slices.Contains(r.ups(b.namespaceKey), a.namespaceKey) {
 		return -1
 	}
-	for _, d := range all[*Decision](r.s, DecisionKind) {
+	for _, d := range valuesOf[*Decision](r.s, DecisionKind) {
 		for _, two := range [][2]*rule{{a, b}, {b, a}} {
-			if d.A == two[0].Key && d.B == two[1].Key && d.ASum == digest(two[0]) && d.BSum == digest(two[1]) {
+			if d.A == two[0].Key && d.B == two[1].Key && d.ASum == ruleDigest(two[0]) && d.BSum == ruleDigest(two[1]) {
 				if d.Pick == a.Key {
 					return 1
 				}
@@ -215,16 +215,16 @@
 		}
 		return fmt.Sprint(*q.Cut)
 	}
-	return string(a.now) != string(b.now) && (a.Mode != b.Mode || !same(a.Value, b.Value) || off(a) != off(b)) || a.Setting == Rate && a.at != b.at
+	return string(a.current) != string(b.current) && (a.Mode != b.Mode || !equalValues(a.Value, b.Value) || off(a) != off(b)) || a.Setting == Rate && a.namespaceKey != b.namespaceKey
 }
 
 func (r *reference) pairs() {
 	for i, a := range r.rules {
 		for _, b := range r.rules[i+1:] {
-			if a.Setting != b.Setting || !r.contradict(a, b) || !r.meet(a.at, b.at) || r.rank(a, b) != 0 {
+			if a.Setting != b.Setting || !r.contradict(a, b) || !r.meet(a.namespaceKey, b.namespaceKey) || r.rank(a, b) != 0 {
 				continue
 			}
-			if a.at != b.at && r.ruler(a) != r.ruler(b) {
+			if a.namespaceKey != b.namespaceKey && r.ruler(a) != r.ruler(b) {
 				r.say(Overlap, a.Key, b.Key)
 			} else {
 				r.say(Equal, a.Key, b.Key)
@@ -236,7 +236,7 @@
 func (r *reference) addUp() {
 	sums, newest := map[string]int64{}, map[string]*rule{}
 	for _, q := range r.rules {
-		if q.Setting != Rate || r.own(q.at, Rate) != q {
+		if q.Setting != Rate || r.own(q.namespaceKey, Rate) != q {
 			continue
 		}
 		if of := r.limitAbove(q); q.Share != nil && of != nil {
@@ -257,8 +257,8 @@
 }
 
 func (r *reference) grants() {
-	for _, g := range all[*grant](r.s, GrantKind) {
-		up, ok := get[*grant](r.s, GrantKind, g.Under)
+	for _, g := range valuesOf[*grant](r.s, GrantKind) {
+		up, ok := lookupValue[*grant](r.s, GrantKind, g.Under)
 		switch {
 		case g.Under == "":
 			continue
@@ -286,7 +286,7 @@
 				break
 			}
 			was = append(was, at.Key)
-			next, ok := get[*grant](r.s, GrantKind, at.Under)
+			next, ok := lookupValue[*grant](r.s, GrantKind, at.Under)
 			if !ok {
 				if at.Under == "" && r.owner(at.In) == g.To && r.meet(g.In, at.In) {
 					r.say(Circle, g.Key)
@@ -302,10 +302,10 @@
 func (r *reference) meets(g, at *grant, last string) bool {
 	other := at
 	if at == g {
-		other, _ = get[*grant](r.s, GrantKind, last)
+		other, _ = lookupValue[*grant](r.s, GrantKind, last)
 	}
 	if other.Under == g.Key {
-		other, _ = get[*grant](r.s, GrantKind, g.Under)
+		other, _ = lookupValue[*grant](r.s, GrantKind, g.Under)
 	}
 	return r.meet(g.In, other.In)
 }
@@ -315,7 +315,7 @@
 	for _, a := range r.rules {
 		for _, b := range r.rules {
 			for _, c := range r.rules {
-				if over(a, b) && over(b, c) && over(c, a) && r.meet(a.at, b.at, c.at) {
+				if over(a, b) && over(b, c) && over(c, a) && r.meet(a.namespaceKey, b.namespaceKey, c.namespaceKey) {
 					keys := []string{a.Key, b.Key, c.Key}
 					sort.Strings(keys)
 					r.say(Circle, keys...)
--- a/internal/rules/selector.go
+++ b/internal/rules/selector.go
@@ -6,22 +6,24 @@
 	"strings"
 )
 
-// Call is what rules are asked about: where a call was taken, its class, its path as the client wrote it, and who calls.
+// Call has the properties of a call that rules can match: where it was accepted, its class, its path as the client
+// sent it, and its caller.
 type Call struct {
 	Island string `json:"island"`
-	Hall   string `json:"hall"` // or branch
+	Hall   string `json:"hall"` // zone, or branch
 	Class  string `json:"class"`
 	Path   string `json:"path"` // "" or "/a/b"
 	Caller string `json:"caller"`
 }
 
-// Selector says which calls a namespace has: each part is equal, or "" for any; Path is a prefix of whole segments.
+// Selector matches the calls of a namespace. Island, Hall and Class match an equal value, or any if they are "";
+// Path is a prefix of whole segments.
 type Selector struct{ Island, Hall, Class, Path string }
 
-// maxSegments is how many segments a namespace's path has at most.
+// maxSegments is the maximum number of segments in the path of a selector.
 const maxSegments = 8
 
-// ParseSelector reads ISLAND/HALL/CLASS[/PATH...], with * for any of the first three.
+// ParseSelector parses ISLAND/ZONE/CLASS[/PATH...]. Each of the first three can be * for any.
 func ParseSelector(s string) (Selector, error) {
 	parts := strings.SplitN(s, "/", 4)
 	if len(parts) < 3 {
@@ -30,8 +32,8 @@
 	for i, p := range parts[:3] {
 		if p == "*" {
 			parts[i] = ""
-		} else if !name(p) {
-			return Selector{}, fmt.Errorf("%.60q: %.40q is neither * nor 1 to %d of a-z 0-9 . _ -", s, p, nameBytes)
+		} else if !validName(p) {
+			return Selector{}, fmt.Errorf("%.60q: %.40q is neither * nor 1 to %d of a-z 0-9 . _ -", s, p, maxNameBytes)
 		}
 	}
 	out := Selector{Island: parts[0], Hall: parts[1], Class: parts[2]}
@@ -41,8 +43,8 @@
 			return Selector{}, fmt.Errorf("%.60q: the path has more than %d segments", s, maxSegments)
 		}
 		for _, p := range segments {
-			if !segment(p) {
-				return Selector{}, fmt.Errorf("%.60q: the path's %.40q is not 1 to %d of A-Z a-z 0-9 . _ ~ -", s, p, nameBytes)
+			if !validSegment(p) {
+				return Selector{}, fmt.Errorf("%.60q: the path's %.40q is not 1 to %d of A-Z a-z 0-9 . _ ~ -", s, p, maxNameBytes)
 			}
 		}
 		out.Path = "/" + parts[3]
@@ -50,96 +52,99 @@
 	return out, nil
 }
 
-// String is the form that ParseSelector reads.
+// String returns the form that ParseSelector parses.
 func (s Selector) String() string {
-	star := func(p string) string {
+	orWildcard := func(p string) string {
 		if p == "" {
 			return "*"
 		}
 		return p
 	}
-	return star(s.Island) + "/" + star(s.Hall) + "/" + star(s.Class) + s.Path
+	return orWildcard(s.Island) + "/" + orWildcard(s.Hall) + "/" + orWildcard(s.Class) + s.Path
 }
 
-// Matches tells whether a call is in the namespace.
+// Matches reports whether the selector matches a call.
 func (s Selector) Matches(c Call) bool {
 	return (s.Island == "" || s.Island == c.Island) && (s.Hall == "" || s.Hall == c.Hall) &&
-		(s.Class == "" || s.Class == c.Class) && begins(c.Path, s.Path)
+		(s.Class == "" || s.Class == c.Class) && hasPathPrefix(c.Path, s.Path)
 }
 
-// Contains tells whether every call in other is in s.
+// Contains reports whether s matches every call that other matches.
 func (s Selector) Contains(other Selector) bool {
 	return (s.Island == "" || s.Island == other.Island) && (s.Hall == "" || s.Hall == other.Hall) &&
-		(s.Class == "" || s.Class == other.Class) && begins(other.Path, s.Path)
+		(s.Class == "" || s.Class == other.Class) && hasPathPrefix(other.Path, s.Path)
 }
 
-// Meet gives the calls that are in both; false where there are none. It is symmetric.
+// Meet returns the intersection: the selector of the calls that both match, or false if there are none. It is
+// symmetric.
 func (s Selector) Meet(other Selector) (Selector, bool) {
 	out := s
-	if !meet(&out.Island, other.Island) || !meet(&out.Hall, other.Hall) || !meet(&out.Class, other.Class) {
+	if !intersectPart(&out.Island, other.Island) || !intersectPart(&out.Hall, other.Hall) || !intersectPart(&out.Class, other.Class) {
 		return Selector{}, false
 	}
 	switch {
-	case begins(other.Path, s.Path):
+	case hasPathPrefix(other.Path, s.Path):
 		out.Path = other.Path
-	case !begins(s.Path, other.Path):
+	case !hasPathPrefix(s.Path, other.Path):
 		return Selector{}, false
 	}
 	return out, true
 }
 
-func meet(a *string, b string) bool {
+func intersectPart(a *string, b string) bool {
 	if *a == "" {
 		*a = b
 	}
 	return b == "" || *a == b
 }
 
-// begins tells whether a path begins with the segments of a prefix.
-func begins(path, prefix string) bool {
-	return len(path) >= len(prefix) && path[:len(prefix)] == prefix && (len(path) == len(prefix) || path[len(prefix)] == '/' || prefix == "")
+// hasPathPrefix reports whether a path begins with the segments of a prefix.
+func hasPathPrefix(path, prefix string) bool {
+	return len(path) >= len(prefix) && path[:len(prefix)] == prefix &&
+		(len(path) == len(prefix) || path[len(prefix)] == '/' || prefix == "")
 }
 
-// Witness is a call in the namespace. Parts that it leaves open get names that stand for any.
+// Witness returns an example of a call that the selector matches. Parts that match any value get a placeholder.
 func (s Selector) Witness() Call { return s.witness() }
 
-// witness is a call in the namespace. Parts that it leaves open get names that stand for any.
+// witness returns an example of a call that the selector matches. Parts that match any value get a placeholder.
 func (s Selector) witness() Call {
-	pick := func(p, any string) string {
+	orDefault := func(p, any string) string {
 		if p == "" {
 			return any
 		}
 		return p
 	}
-	return Call{pick(s.Island, "any-island"), pick(s.Hall, "any-hall"), pick(s.Class, "any-class"), s.Path, "any-caller"}
+	return Call{orDefault(s.Island, "any-island"), orDefault(s.Hall, "any-hall"), orDefault(s.Class, "any-class"), s.Path,
+		"any-caller"}
 }
 
-const nameBytes = 40
+const maxNameBytes = 40
 
-// name tells whether s can name a team, a rule or a part of a namespace.
-func name(s string) bool {
-	return 0 < len(s) && len(s) <= nameBytes && !strings.ContainsFunc(s, func(r rune) bool {
+// validName reports whether s is a valid name of a team, a rule or a part of a namespace.
+func validName(s string) bool {
+	return 0 < len(s) && len(s) <= maxNameBytes && !strings.ContainsFunc(s, func(r rune) bool {
 		return (r < 'a' || 'z' < r) && (r < '0' || '9' < r) && r != '.' && r != '_' && r != '-'
 	})
 }
 
-func segment(s string) bool {
-	return 0 < len(s) && len(s) <= nameBytes && !strings.ContainsFunc(s, func(r rune) bool {
+func validSegment(s string) bool {
+	return 0 < len(s) && len(s) <= maxNameBytes && !strings.ContainsFunc(s, func(r rune) bool {
 		return (r < 'a' || 'z' < r) && (r < 'A' || 'Z' < r) && (r < '0' || '9' < r) && !strings.ContainsRune("._~-", r)
 	})
 }
 
-// RuleKey is NAMESPACE#SETTING#NAME, taken apart.
+// RuleKey is the parsed key of a rule: NAMESPACE#SETTING#NAME.
 type RuleKey struct {
 	In      Selector
 	Setting Setting
 	Name    string
 }
 
-// String is the key as refusals write it.
+// String returns the form that ParseRuleKey parses. Messages about refused calls contain it.
 func (k RuleKey) String() string { return k.In.String() + "#" + string(k.Setting) + "#" + k.Name }
 
-// ParseRuleKey reads the key of a rule's item.
+// ParseRuleKey parses the key of a rule's item.
 func ParseRuleKey(s string) (RuleKey, error) {
 	parts := strings.Split(s, "#")
 	if len(parts) != 3 {
@@ -150,10 +155,10 @@
 		return RuleKey{}, err
 	}
 	k := RuleKey{in, Setting(parts[1]), parts[2]}
-	if !k.Setting.known() {
+	if !k.Setting.valid() {
 		return RuleKey{}, fmt.Errorf("setting: %.40q is not one of %v", parts[1], Settings())
 	}
-	if !name(k.Name) {
+	if !validName(k.Name) {
 		return RuleKey{}, errors.New("name: it must be 1 to 40 of a-z 0-9 . _ -")
 	}
 	return k, nil
--- a/internal/rules/state.go
+++ b/internal/rules/state.go
@@ -13,338 +13,353 @@
 	"burlpass/internal/record"
 )
 
-type place struct {
+// itemKey identifies an item of the record.
+type itemKey struct {
 	kind record.Kind
 	key  string
 }
 
-// entry is an item, read. It never changes, and is shared by the states that have it.
+// entry is a decoded item. It is immutable and shared by all states that contain it.
 type entry struct {
 	record.Item
-	past []Past
-	now  json.RawMessage // nil: nothing is in force
-	sum  [sha256.Size]byte
-	val  any // *Team, *Class, *space, *grant, *rule, *Decision; nil where now is
+	past    []Past
+	current json.RawMessage // nil if no value is in force
+	digest  [sha256.Size]byte
+	value   any // *Team, *Class, *namespace, *grant, *rule or *Decision; nil if current is nil
 }
 
-type space struct {
+// namespace is a Namespace with its key and the selector parsed from it.
+type namespace struct {
 	key string
 	Selector
 	Namespace
 }
 
+// grant is a Grant with its entry and its parsed selector.
 type grant struct {
 	*entry
 	Grant
-	in Selector
+	selector Selector
 }
 
+// rule is a Rule with its entry and its parsed key.
 type rule struct {
 	*entry
 	RuleKey
 	Rule
-	at string // its namespace, as the key has it
+	namespaceKey string // the namespace part of the key
 }
 
-func read(i record.Item) (*entry, error) {
-	var k kept
-	if err := quick(i.Value, &k); err != nil {
+func parseEntry(i record.Item) (*entry, error) {
+	var parsed storedValue
+	if err := decodeJSON(i.Value, &parsed); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", i.Kind, i.Key, err)
 	}
-	past, now := k.Past, k.Now
-	if isNull(now) {
-		now = nil
+	past, current := parsed.Past, parsed.Now
+	if isNull(current) {
+		current = nil
 	}
-	e := &entry{Item: i, past: past, now: now}
-	if now == nil {
+	e := &entry{Item: i, past: past, current: current}
+	if current == nil {
 		return e, nil
 	}
-	e.sum = sumOf(i.Kind, i.Key, now)
-	v, err := decode(i.Kind, i.Key, now, quick)
+	e.digest = itemDigest(i.Kind, i.Key, current)
+	v, err := decodeValue(i.Kind, i.Key, current, decodeJSON)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", i.Kind, i.Key, err)
 	}
 	switch v := v.(type) {
 	case *Namespace:
 		sel, _ := ParseSelector(i.Key)
-		e.val = &space{i.Key, sel, *v}
+		e.value = &namespace{i.Key, sel, *v}
 	case *Grant:
 		in, _ := ParseSelector(v.In)
-		e.val = &grant{e, *v, in}
+		e.value = &grant{e, *v, in}
 	case *Rule:
-		k, _ := ParseRuleKey(i.Key)
-		e.val = &rule{e, k, *v, i.Key[:strings.IndexByte(i.Key, '#')]}
+		parsed, _ := ParseRuleKey(i.Key)
+		e.value = &rule{e, parsed, *v, i.Key[:strings.IndexByte(i.Key, '#')]}
 	default:
-		e.val = v
+		e.value = v
 	}
 	return e, nil
 }
 
-// node is a namespace in the tree of one state.
+// node is a namespace in the tree of a state.
 type node struct {
-	*space
-	up      *node // nil for the root, and for one whose parent is not there or does not contain it
-	down    []*node
-	in, out int // place in the tree's order; what is below has in between them
+	*namespace
+	parentNode *node // nil for the root, and if the parent does not exist or does not contain the namespace
+	children   []*node
+	start, end int // position in preorder; descendants have positions from start+1 to end-1
 }
 
-// above tells whether n is a proper ancestor of m.
-func (n *node) above(m *node) bool { return n.in < m.in && m.in < n.out }
+// isAncestorOf reports whether n is a proper ancestor of m.
+func (n *node) isAncestorOf(m *node) bool { return n.start < m.start && m.start < n.end }
 
-// tree is what a state's namespaces make. States that have the same ones share it.
+// tree is the tree of the namespaces of a state. States with the same namespaces share it.
 type tree struct {
-	nodes map[string]*node
-	order []*node // parents before children, siblings by key
+	nodes    map[string]*node
+	preorder []*node // parents before children, siblings by key
 }
 
-// State is a set of items, read and indexed. It never changes.
+// State is an immutable set of decoded and indexed items.
 type State struct {
 	*tree
-	entries map[place]*entry
-	held    [][settings][]*rule // by namespace in the tree's order and setting, in the order of their keys
-	lost    []*rule             // whose namespace is not there
-	sum     [4]uint64           // over all that is in force
-	chosen  [4]uint64           // over the decisions
+	entries        map[itemKey]*entry
+	rulesByNode    [][settingCount][]*rule // by preorder position of the namespace, and setting; sorted by key
+	orphanedRules  []*rule                 // rules whose namespace does not exist
+	digest         [4]uint64               // sum of the digests of all current values
+	decisionDigest [4]uint64               // the same, of decisions only
 }
 
-// copied is a state of its own, to be changed by put before anyone else sees it.
-func (s *State) copied() *State {
-	return &State{tree: s.tree, entries: maps.Clone(s.entries), held: slices.Clone(s.held), lost: slices.Clone(s.lost), sum: s.sum, chosen: s.chosen}
+// clone returns a copy that can be changed by put until it is published.
+func (state *State) clone() *State {
+	return &State{
+		tree:           state.tree,
+		entries:        maps.Clone(state.entries),
+		rulesByNode:    slices.Clone(state.rulesByNode),
+		orphanedRules:  slices.Clone(state.orphanedRules),
+		digest:         state.digest,
+		decisionDigest: state.decisionDigest,
+	}
 }
 
-// put sets an entry, nil for none. The tree stays as it is.
-func (s *State) put(at place, e *entry) {
-	if old := s.entries[at]; old != nil && old.val != nil {
-		s.count(old, -1)
-		s.hang(old, false)
+// put sets the entry of a key, or removes it if e is nil. It does not update the tree.
+func (state *State) put(key itemKey, e *entry) {
+	if old := state.entries[key]; old != nil && old.value != nil {
+		state.updateSums(old, -1)
+		state.updateRuleLists(old, false)
 	}
-	delete(s.entries, at)
+	delete(state.entries, key)
 	if e == nil {
 		return
 	}
-	s.entries[at] = e
-	if e.val != nil {
-		s.count(e, 1)
-		s.hang(e, true)
+	state.entries[key] = e
+	if e.value != nil {
+		state.updateSums(e, 1)
+		state.updateRuleLists(e, true)
 	}
 }
 
-// With is the state after changes, set in a version. It fails for a value that cannot be read. Where no namespace changes it costs
-// little but a copy of what finds the items.
-func (s *State) With(changes []record.Change, version record.Version) (*State, error) {
-	out := s.copied()
-	replant := false
+// With returns the state after changes that are applied in a version. It fails if a value cannot be decoded. If no
+// namespace changes, it costs little more than copying the indexes.
+func (state *State) With(changes []record.Change, version record.Version) (*State, error) {
+	out := state.clone()
+	namespacesChanged := false
 	for _, c := range changes {
 		if !slices.Contains(Kinds(), c.Kind) {
 			continue
 		}
-		replant = replant || c.Kind == NamespaceKind
+		namespacesChanged = namespacesChanged || c.Kind == NamespaceKind
 		var e *entry
 		if c.Value != nil {
 			var err error
-			if e, err = read(record.Item{Kind: c.Kind, Key: c.Key, Value: c.Value, Version: version}); err != nil {
+			if e, err = parseEntry(record.Item{Kind: c.Kind, Key: c.Key, Value: c.Value, Version: version}); err != nil {
 				return nil, err
 			}
 		}
-		out.put(place{c.Kind, c.Key}, e)
+		out.put(itemKey{c.Kind, c.Key}, e)
 	}
-	if replant {
-		return index(out.entries), nil
+	if namespacesChanged {
+		return newState(out.entries), nil
 	}
 	return out, nil
 }
 
-// hang puts a rule to its namespace or takes it away, in lists of its own; other entries have no place there.
-func (s *State) hang(e *entry, there bool) {
-	r, ok := e.val.(*rule)
+// updateRuleLists adds a rule to the list of its namespace, or removes it if it is not present any more. The list
+// is copied, since other states share it. Entries of other kinds are ignored.
+func (state *State) updateRuleLists(e *entry, present bool) {
+	r, ok := e.value.(*rule)
 	if !ok {
 		return
 	}
-	list := &s.lost
-	if n := s.node(r); n != nil {
-		list = &s.held[n.in][r.Setting.number()]
+	list := &state.orphanedRules
+	if n := state.ruleNode(r); n != nil {
+		list = &state.rulesByNode[n.start][r.Setting.index()]
 	}
 	*list = slices.DeleteFunc(slices.Clone(*list), func(q *rule) bool { return q.Key == r.Key })
-	if there {
+	if present {
 		i, _ := slices.BinarySearchFunc(*list, r.Key, func(q *rule, key string) int { return cmp.Compare(q.Key, key) })
 		*list = slices.Insert(*list, i, r)
 	}
 }
 
-func index(entries map[place]*entry) *State {
+func newState(entries map[itemKey]*entry) *State {
 	s := &State{tree: &tree{nodes: map[string]*node{}}, entries: entries}
 	var rules []*rule
 	for _, e := range entries {
-		if e.val == nil {
+		if e.value == nil {
 			continue
 		}
-		s.count(e, 1)
-		switch v := e.val.(type) {
-		case *space:
-			s.nodes[v.key] = &node{space: v}
+		s.updateSums(e, 1)
+		switch v := e.value.(type) {
+		case *namespace:
+			s.nodes[v.key] = &node{namespace: v}
 		case *rule:
 			rules = append(rules, v)
 		}
 	}
-	s.grow()
-	s.held = make([][settings][]*rule, len(s.order))
+	s.build()
+	s.rulesByNode = make([][settingCount][]*rule, len(s.preorder))
 	for _, r := range rules {
-		list := &s.lost
-		if n := s.node(r); n != nil {
-			list = &s.held[n.in][r.Setting.number()]
+		list := &s.orphanedRules
+		if n := s.ruleNode(r); n != nil {
+			list = &s.rulesByNode[n.start][r.Setting.index()]
 		}
 		*list = append(*list, r)
 	}
 	byKey := func(a, b *rule) int { return cmp.Compare(a.Key, b.Key) }
-	for i := range s.held {
-		for j := range s.held[i] {
-			slices.SortFunc(s.held[i][j], byKey)
+	for i := range s.rulesByNode {
+		for j := range s.rulesByNode[i] {
+			slices.SortFunc(s.rulesByNode[i][j], byKey)
 		}
 	}
-	slices.SortFunc(s.lost, byKey)
+	slices.SortFunc(s.orphanedRules, byKey)
 	return s
 }
 
-// grow puts the nodes together and in order.
-func (t *tree) grow() {
+// build links the nodes and puts them in preorder.
+func (t *tree) build() {
 	var roots []*node
 	sorted := slices.SortedFunc(maps.Values(t.nodes), func(a, b *node) int { return cmp.Compare(a.key, b.key) })
 	for _, n := range sorted {
-		if p := t.nodes[n.Parent]; p != nil && p != n && p.Contains(n.Selector) {
-			n.up = p
-			p.down = append(p.down, n)
+		if parent := t.nodes[n.Parent]; parent != nil && parent != n && parent.Contains(n.Selector) {
+			n.parentNode = parent
+			parent.children = append(parent.children, n)
 		} else {
 			roots = append(roots, n)
 		}
 	}
 	var walk func(n *node)
 	walk = func(n *node) {
-		n.in = len(t.order)
-		t.order = append(t.order, n)
-		for _, c := range n.down {
-			walk(c)
+		n.start = len(t.preorder)
+		t.preorder = append(t.preorder, n)
+		for _, child := range n.children {
+			walk(child)
 		}
-		n.out = len(t.order)
+		n.end = len(t.preorder)
 	}
 	for _, n := range roots {
 		walk(n)
 	}
 }
 
-// count adds an entry to the sums, or takes it off. The order does not matter.
-func (s *State) count(e *entry, sign int) {
-	for i := range s.sum {
-		lane := binary.BigEndian.Uint64(e.sum[8*i:])
+// updateSums adds the digest of an entry to the sums, or subtracts it if sign is negative. The result does not
+// depend on the order of the entries.
+func (state *State) updateSums(e *entry, sign int) {
+	for i := range state.digest {
+		lane := binary.BigEndian.Uint64(e.digest[8*i:])
 		if sign < 0 {
 			lane = -lane
 		}
-		s.sum[i] += lane
+		state.digest[i] += lane
 		if e.Kind == DecisionKind {
-			s.chosen[i] += lane
+			state.decisionDigest[i] += lane
 		}
 	}
 }
 
-// Hash is a digest of what is in force, in hex: equal for equal sets, whatever their history. It finds mistakes, and does not
-// withstand somebody who makes up items.
-func (s *State) Hash() string {
-	return fmt.Sprintf("%016x%016x%016x%016x", s.sum[0], s.sum[1], s.sum[2], s.sum[3])
+// Hash returns a digest of all current values in hex. Equal sets have equal hashes, whatever their history. It
+// detects accidental differences; it is not collision resistant against chosen items.
+func (state *State) Hash() string {
+	return fmt.Sprintf("%016x%016x%016x%016x", state.digest[0], state.digest[1], state.digest[2], state.digest[3])
 }
 
-func get[T any](s *State, kind record.Kind, key string) (T, bool) {
-	var none T
-	e := s.entries[place{kind, key}]
-	if e == nil || e.val == nil {
-		return none, false
+func lookupValue[T any](s *State, kind record.Kind, key string) (T, bool) {
+	var zero T
+	e := s.entries[itemKey{kind, key}]
+	if e == nil || e.value == nil {
+		return zero, false
 	}
-	v, ok := e.val.(T)
+	v, ok := e.value.(T)
 	return v, ok
 }
 
-// all are the values of a kind in force, in the order of their keys.
-func all[T any](s *State, kind record.Kind) []T {
-	var at []*entry
-	for p, e := range s.entries {
-		if p.kind == kind && e.val != nil {
-			at = append(at, e)
+// valuesOf returns the current values of a kind, sorted by key.
+func valuesOf[T any](s *State, kind record.Kind) []T {
+	var entries []*entry
+	for key, e := range s.entries {
+		if key.kind == kind && e.value != nil {
+			entries = append(entries, e)
 		}
 	}
-	slices.SortFunc(at, func(a, b *entry) int { return cmp.Compare(a.Key, b.Key) })
-	out := make([]T, len(at))
-	for i, e := range at {
-		out[i] = e.val.(T)
+	slices.SortFunc(entries, func(a, b *entry) int { return cmp.Compare(a.Key, b.Key) })
+	out := make([]T, len(entries))
+	for i, e := range entries {
+		out[i] = e.value.(T)
 	}
 	return out
 }
 
-// lives tells whether there is a team that is not dissolved.
-func (s *State) lives(team string) bool {
-	t, ok := get[*Team](s, TeamKind, team)
+// isActiveTeam reports whether the team exists and is not dissolved.
+func (state *State) isActiveTeam(team string) bool {
+	t, ok := lookupValue[*Team](state, TeamKind, team)
 	return ok && !t.Dissolved
 }
 
-// Owner is the team that owns a namespace; false where there is no such namespace, or none above it has a team.
-func (s *State) Owner(selector string) (string, bool) {
-	owner := s.owner(s.nodes[selector])
+// Owner returns the team that owns a namespace, or false if the namespace does not exist or neither it nor an
+// ancestor has an active owner.
+func (state *State) Owner(selector string) (string, bool) {
+	owner := state.activeOwner(state.nodes[selector])
 	return owner, owner != ""
 }
 
-// OwnerOf is the team that owns what a selector names: of a namespace that is not there any more, the root's owner. "" where there is
-// no root.
-func (s *State) OwnerOf(in Selector) string {
-	if owner, ok := s.Owner(in.String()); ok {
+// OwnerOf returns the team that owns the namespace of a selector, or the owner of the root if the namespace does
+// not exist any more. It returns "" if there is no root.
+func (state *State) OwnerOf(in Selector) string {
+	if owner, ok := state.Owner(in.String()); ok {
 		return owner
 	}
-	return s.rootOwner()
+	return state.rootOwner()
 }
 
-func (s *State) owner(n *node) string {
-	for ; n != nil; n = n.up {
-		if s.lives(n.Owner) {
+func (state *State) activeOwner(n *node) string {
+	for ; n != nil; n = n.parentNode {
+		if state.isActiveTeam(n.Owner) {
 			return n.Owner
 		}
 	}
 	return ""
 }
 
-// holder is the team whose grant it is: the one that it names, or if that is dissolved who gave it. In a circle of dissolved
-// teams, which no write can bring about, it is the owner of the namespace.
-func (s *State) holder(g *grant) string {
-	first := g
-	for range len(s.entries) {
-		if s.lives(g.To) {
+// grantHolder returns the team that holds a grant: the one it names, or the one that gave it if the former is
+// dissolved. In a cycle of dissolved teams, which no accepted write causes, it is the owner of the namespace.
+func (state *State) grantHolder(g *grant) string {
+	start := g
+	for range len(state.entries) {
+		if state.isActiveTeam(g.To) {
 			return g.To
 		}
-		above, ok := get[*grant](s, GrantKind, g.Under)
+		parent, ok := lookupValue[*grant](state, GrantKind, g.Under)
 		if !ok {
-			return s.owner(s.nodes[g.In])
+			return state.activeOwner(state.nodes[g.In])
 		}
-		g = above
+		g = parent
 	}
-	return s.owner(s.nodes[first.In])
+	return state.activeOwner(state.nodes[start.In])
 }
 
-// giver is who gives a grant, and may change it.
-func (s *State) giver(g *grant) string {
-	if above, ok := get[*grant](s, GrantKind, g.Under); ok {
-		return s.holder(above)
+// grantor returns the team that gave a grant and may change it.
+func (state *State) grantor(g *grant) string {
+	if parent, ok := lookupValue[*grant](state, GrantKind, g.Under); ok {
+		return state.grantHolder(parent)
 	}
-	return s.owner(s.nodes[g.In])
+	return state.activeOwner(state.nodes[g.In])
 }
 
-// ruler is the team whose rule it is.
-func (s *State) ruler(r *rule) string {
-	if g, ok := get[*grant](s, GrantKind, r.Under); ok {
-		return s.holder(g)
+// ruleOwner returns the team that a rule belongs to.
+func (state *State) ruleOwner(r *rule) string {
+	if g, ok := lookupValue[*grant](state, GrantKind, r.Under); ok {
+		return state.grantHolder(g)
 	}
-	return s.owner(s.node(r))
+	return state.activeOwner(state.ruleNode(r))
 }
 
-func (s *State) node(r *rule) *node { return s.nodes[r.at] }
+func (state *State) ruleNode(r *rule) *node { return state.nodes[r.namespaceKey] }
 
-// common is the nearest namespace that is at or above both; nil where there is none.
-func common(a, b *node) *node {
-	for ; a != nil && b != nil && a != b && !a.above(b); a = a.up {
+// commonAncestor returns the nearest namespace that is, or is an ancestor of, each of the two. It returns nil if
+// there is none.
+func commonAncestor(a, b *node) *node {
+	for ; a != nil && b != nil && a != b && !a.isAncestorOf(b); a = a.parentNode {
 	}
 	if b == nil {
 		return nil
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -9,176 +9,180 @@
 	"burlpass/internal/record"
 )
 
-// Table is a state made ready for calls. It never changes, and is safe for any number of goroutines; a call keeps the one that it
-// began with.
+// Table is a state compiled for lookups by call. It is immutable and safe for concurrent use. A call uses the
+// table that it started with until it ends.
 type Table struct {
-	version record.Version
-	hash    string
-	of      *State // that it was made of
-	finder  *places
-	spans   []span         // by namespace, in the tree's order
-	slots   []slot         // by namespace and setting
-	holds   []int32        // by namespace and setting: the slot that holds there if nothing below does; -1 for none
-	beats   map[int64]bool // of two slots at peers, the first<<32 | the second: it is decided that the first holds
-	laws    map[string]law // by class
+	version    record.Version
+	hash       string
+	state      *State // the state it was compiled from
+	namespaces *namespaceIndex
+	spans      []span                 // by preorder position of the namespace
+	slots      []slot                 // by namespace and setting
+	effective  []int32                // by namespace and setting: the effective slot, which may be inherited; -1 for none
+	precedence map[int64]bool         // by two slots, the first<<32 | the second: a decision lets the first win against the second
+	classes    map[string]classLimits // by name of the class
 }
 
-// span is a namespace's place in the tree's order.
-type span struct{ in, out int32 }
+// span is the range of preorder positions of a namespace and its descendants.
+type span struct{ start, end int32 }
 
-// slot is what holds by one rule at its namespace.
+// slot is the compiled rule of a namespace and a setting.
 type slot struct {
-	rule   *rule // nil: there is none at this namespace, or a locked one above holds
-	value  Value // worked out, and held down to what is bound above
-	n      int64 // of value
-	limit  Value // that binds what is below
-	bound  bool  // there is such a limit
-	locked bool
-	next   int32 // the slot of the limit above that counts the call too; -1 for none
+	rule        *rule // nil if the namespace has no rule of its own, or a locked rule above replaces it
+	value       Value // with shares resolved, and limited by the bounds above
+	amount      int64 // the number of value
+	limit       Value // the bound for rules below
+	hasLimit    bool  // limit is set
+	locked      bool
+	parentLimit int32 // the slot of the next limit above that counts the call too; -1 for none
 }
 
-type law struct {
+type classLimits struct {
 	attempts int64
 	repeat   bool
 }
 
-// Compile makes the table of a state. It is total, also for a state with conflicts: of what contradicts itself the stricter
-// holds, then the lesser key. The version is what the table says it has; it has no part in anything else.
+// Compile builds the table of a state. It gives a result for states with conflicts too: of contradicting rules the
+// stricter one is effective, then the one with the smaller key. version is only what Version returns and Lookup
+// reports.
 func Compile(s *State, version record.Version) *Table {
 	return (*Table)(nil).Update(s, version)
 }
 
-// Update makes the table of a state, as Compile, and takes from t what has not changed. Where the namespaces are the same it
-// costs what lies below the rules that are not.
+// Update builds the table of a state like Compile, and reuses the parts of t that have not changed. If the
+// namespaces are the same, only the subtrees below changed rules are computed again.
 func (t *Table) Update(s *State, version record.Version) *Table {
-	n := len(s.order)
-	next := &Table{version: version, hash: s.Hash(), of: s, laws: map[string]law{}, beats: map[int64]bool{}}
+	n := len(s.preorder)
+	next := &Table{version: version, hash: s.Hash(), state: s, classes: map[string]classLimits{}, precedence: map[int64]bool{}}
 	for _, e := range s.entries {
-		if c, ok := e.val.(*Class); ok {
-			next.laws[e.Key] = law{c.Attempts, c.Repeat}
+		if c, ok := e.value.(*Class); ok {
+			next.classes[e.Key] = classLimits{c.Attempts, c.Repeat}
 		}
 	}
-	kept := t != nil && (t.of.tree == s.tree || slices.EqualFunc(t.of.order, s.order, func(a, b *node) bool {
-		return a.Selector == b.Selector && a.in == b.in && a.out == b.out
+	sameTree := t != nil && (t.state.tree == s.tree || slices.EqualFunc(t.state.preorder, s.preorder, func(a, b *node) bool {
+		return a.Selector == b.Selector && a.start == b.start && a.end == b.end
 	}))
-	if kept {
-		next.finder, next.spans = t.finder, t.spans
-		next.slots, next.holds = slices.Clone(t.slots), slices.Clone(t.holds)
+	if sameTree {
+		next.namespaces, next.spans = t.namespaces, t.spans
+		next.slots, next.effective = slices.Clone(t.slots), slices.Clone(t.effective)
 	} else {
-		next.finder = newPlaces(s.order)
+		next.namespaces = newNamespaceIndex(s.preorder)
 		next.spans = make([]span, n)
-		next.slots, next.holds = make([]slot, n*settings), make([]int32, n*settings)
-		for i, m := range s.order {
-			next.spans[i] = span{int32(m.in), int32(m.out)}
+		next.slots, next.effective = make([]slot, n*settingCount), make([]int32, n*settingCount)
+		for i, namespaceNode := range s.preorder {
+			next.spans[i] = span{int32(namespaceNode.start), int32(namespaceNode.end)}
 		}
 	}
-	redecided := !kept || t.of.chosen != s.chosen
-	for set := range settings {
+	decisionsChanged := !sameTree || t.state.decisionDigest != s.decisionDigest
+	for setting := range settingCount {
 		for i := 0; i < n; i++ {
-			if !redecided && slices.Equal(t.of.held[i][set], s.held[i][set]) {
+			if !decisionsChanged && slices.Equal(t.state.rulesByNode[i][setting], s.rulesByNode[i][setting]) {
 				continue
 			}
-			for j := i; j < s.order[i].out; j++ {
-				next.fill(s, s.order[j], set)
+			for j := i; j < s.preorder[i].end; j++ {
+				next.resolveSlot(s, s.preorder[j], setting)
 			}
-			i = s.order[i].out - 1
+			i = s.preorder[i].end - 1
 		}
 	}
-	next.decide(s)
+	next.recordDecisions(s)
 	return next
 }
 
-// fill works out what holds at a namespace, whose parent has been filled.
-func (t *Table) fill(s *State, n *node, set int) {
-	at := n.in*settings + set
-	above := int32(-1)
-	if n.up != nil {
-		above = t.holds[n.up.in*settings+set]
+// resolveSlot computes the slot of a namespace and a setting. Those of the parent must have been computed before.
+func (t *Table) resolveSlot(s *State, n *node, setting int) {
+	slotIndex := n.start*settingCount + setting
+	inherited := int32(-1)
+	if n.parentNode != nil {
+		inherited = t.effective[n.parentNode.start*settingCount+setting]
 	}
-	t.holds[at], t.slots[at] = above, slot{next: -1}
-	r := s.own(n, set)
+	t.effective[slotIndex], t.slots[slotIndex] = inherited, slot{parentLimit: -1}
+	r := s.effectiveRule(n, setting)
 	if r == nil {
 		return
 	}
-	out := slot{rule: r, value: r.Value, next: -1, locked: r.Mode == Locked}
-	if above >= 0 {
-		p := &t.slots[above]
-		if p.locked {
+	effective := slot{rule: r, value: r.Value, parentLimit: -1, locked: r.Mode == Locked}
+	if inherited >= 0 {
+		parent := &t.slots[inherited]
+		if parent.locked {
 			return
 		}
 		if r.Share != nil {
-			part := p.n * *r.Share / 1000
-			out.value = Value{N: &part}
+			amount := parent.amount * *r.Share / 1000
+			effective.value = Value{N: &amount}
 		}
-		if p.bound {
-			out.value, out.limit, out.bound = tighter(out.value, p.limit), p.limit, true
+		if parent.hasLimit {
+			effective.value, effective.limit, effective.hasLimit = stricterValue(effective.value, parent.limit), parent.limit, true
 		}
-		out.next = p.next
-		if p.rule.Mode == Bound {
-			out.next = above
+		effective.parentLimit = parent.parentLimit
+		if parent.rule.Mode == Bound {
+			effective.parentLimit = inherited
 		}
 	} else if r.Share != nil {
-		return // a share of nothing
+		return // a share without a limit has no effect
 	}
-	if out.value.N != nil {
-		out.n = *out.value.N
+	if effective.value.N != nil {
+		effective.amount = *effective.value.N
 	}
 	if r.Mode != Default {
-		out.limit, out.bound = out.value, true
+		effective.limit, effective.hasLimit = effective.value, true
 	}
-	for _, q := range s.held[n.in][set] { // what contradicts it, undecided, binds what is below all the same
-		if q == r || q.Mode == Default || s.loses(n, q) {
+	for _, q := range s.rulesByNode[n.start][setting] { // contradicting rules without a decision still bind the rules below
+		if q == r || q.Mode == Default || s.isOverruled(n, q) {
 			continue
 		}
-		if v, ok := s.resolved(q); ok {
-			out.locked = out.locked || q.Mode == Locked
-			if out.bound {
-				v = tighter(v, out.limit)
+		if v, ok := s.resolvedValue(q); ok {
+			effective.locked = effective.locked || q.Mode == Locked
+			if effective.hasLimit {
+				v = stricterValue(v, effective.limit)
 			}
-			out.limit, out.bound = v, true
+			effective.limit, effective.hasLimit = v, true
 		}
 	}
-	t.slots[at], t.holds[at] = out, int32(at)
+	t.slots[slotIndex], t.effective[slotIndex] = effective, int32(slotIndex)
 }
 
-// own is the rule that holds at a namespace of those that it has: one over which no other is decided, the strictest of them.
-func (s *State) own(n *node, set int) *rule {
-	at := s.held[n.in][set]
-	switch len(at) {
+// effectiveRule returns which of the rules of a namespace for a setting is effective: the strictest of those that
+// no decision overrules.
+func (state *State) effectiveRule(n *node, setting int) *rule {
+	candidates := state.rulesByNode[n.start][setting]
+	switch len(candidates) {
 	case 0:
 		return nil
 	case 1:
-		return at[0]
+		return candidates[0]
 	}
-	free := slices.DeleteFunc(slices.Clone(at), func(r *rule) bool { return s.loses(n, r) })
-	if len(free) == 0 {
-		free = at
+	notOverruled := slices.DeleteFunc(slices.Clone(candidates), func(r *rule) bool { return state.isOverruled(n, r) })
+	if len(notOverruled) == 0 {
+		notOverruled = candidates
 	}
-	best := free[0]
-	for _, r := range free[1:] {
-		if s.stricter(r, best) {
+	best := notOverruled[0]
+	for _, r := range notOverruled[1:] {
+		if state.isStricter(r, best) {
 			best = r
 		}
 	}
 	return best
 }
 
-// stricter orders two rules at one namespace; what is equal stays in the order of keys.
-func (s *State) stricter(a, b *rule) bool {
-	va, okA := s.resolved(a)
-	vb, okB := s.resolved(b)
+// isStricter reports whether rule a is stricter than rule b of the same namespace. It is false if they are equally
+// strict, so that the smaller key comes first.
+func (state *State) isStricter(a, b *rule) bool {
+	valueA, okA := state.resolvedValue(a)
+	valueB, okB := state.resolvedValue(b)
 	if okA != okB {
 		return okA
 	}
-	if okA && order(va, vb) != 0 {
-		return order(va, vb) < 0
+	if okA && compareValues(valueA, valueB) != 0 {
+		return compareValues(valueA, valueB) < 0
 	}
 	rank := func(m Mode) int { return slices.Index([]Mode{Locked, Bound, Default}, m) }
 	return rank(a.Mode) < rank(b.Mode)
 }
 
-// order is -1 where a is the stricter value, by number or by how many callers.
-func order(a, b Value) int {
+// compareValues returns -1 if a is stricter than b, 1 if it is looser, and 0 if they are equally strict. Lists of
+// callers are compared by their length.
+func compareValues(a, b Value) int {
 	x, y := int64(len(a.Callers)), int64(len(b.Callers))
 	if a.N != nil && b.N != nil {
 		x, y = *a.N, *b.N
@@ -192,74 +196,76 @@
 	return 0
 }
 
-// decide notes which slots hold over which peers.
-func (t *Table) decide(s *State) {
-	for _, d := range all[*Decision](s, DecisionKind) {
-		a, okA := get[*rule](s, RuleKind, d.A)
-		b, okB := get[*rule](s, RuleKind, d.B)
-		if !okA || !okB || a.Setting != b.Setting || !differ(a, b) {
+// recordDecisions fills precedence from the decisions of the state.
+func (t *Table) recordDecisions(s *State) {
+	for _, d := range valuesOf[*Decision](s, DecisionKind) {
+		a, okA := lookupValue[*rule](s, RuleKind, d.A)
+		b, okB := lookupValue[*rule](s, RuleKind, d.B)
+		if !okA || !okB || a.Setting != b.Setting || !contradict(a, b) {
 			continue
 		}
-		na, nb := s.node(a), s.node(b)
-		won := s.decided(a, b)
-		if na == nil || nb == nil || na == nb || won == nil || na.above(nb) || nb.above(na) {
-			continue // the tree may have moved since it was decided
+		nodeA, nodeB := s.ruleNode(a), s.ruleNode(b)
+		winner := s.decisionWinner(a, b)
+		if nodeA == nil || nodeB == nil || nodeA == nodeB || winner == nil || nodeA.isAncestorOf(nodeB) || nodeB.isAncestorOf(nodeA) {
+			continue // the tree may have changed since the decision
 		}
-		i, j := na.in*settings+a.Setting.number(), nb.in*settings+b.Setting.number()
+		i, j := nodeA.start*settingCount+a.Setting.index(), nodeB.start*settingCount+b.Setting.index()
 		if t.slots[i].rule != a || t.slots[j].rule != b {
 			continue
 		}
-		if won == b {
+		if winner == b {
 			i, j = j, i
 		}
-		t.beats[int64(i)<<32|int64(j)] = true
+		t.precedence[int64(i)<<32|int64(j)] = true
 	}
 }
 
-// Version is the record's version that the table was made for.
+// Version returns the version of the record that the table was built for.
 func (t *Table) Version() record.Version { return t.version }
 
-// Hash is the state's: equal sets have equal tables.
+// Hash returns the hash of the state. Tables of equal sets of items are equal.
 func (t *Table) Hash() string { return t.hash }
 
-// Bytes writes out all of the table but its version, a JSON line each: the hash, for each namespace in the tree's order what
-// holds there, the decisions, the classes. Equal sets give equal bytes.
+// Bytes encodes the table without its version as lines of JSON: the hash, the effective rules of each namespace in
+// preorder, the decisions, the classes. Equal sets of items give equal bytes.
 func (t *Table) Bytes() []byte {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
-	type held struct {
+	type settingLine struct {
 		Setting Setting `json:"setting"`
 		Rule    string  `json:"rule"`
 		Mode    Mode    `json:"mode"`
 		Value
 		Cut  *lease.Cut `json:"cut,omitempty"`
-		Also string     `json:"also,omitempty"` // the limit above that counts too
+		Also string     `json:"also,omitempty"` // the next limit above that counts the call too
 	}
-	type line struct {
-		In    string `json:"in"`
-		Holds []held `json:"holds"`
+	type namespaceLine struct {
+		In    string        `json:"in"`
+		Holds []settingLine `json:"holds"`
 	}
 	enc.Encode(struct {
 		Hash string `json:"hash"`
 	}{t.hash})
-	for i, n := range t.of.order {
-		l := line{In: n.key}
-		for set, name := range Settings() {
-			at := t.holds[i*settings+set]
-			if at < 0 {
+	for i, n := range t.state.preorder {
+		line := namespaceLine{In: n.key}
+		for setting, name := range Settings() {
+			slotIndex := t.effective[i*settingCount+setting]
+			if slotIndex < 0 {
 				continue
 			}
-			sl := &t.slots[at]
-			h := held{Setting: name, Rule: sl.rule.Key, Mode: sl.rule.Mode, Value: sl.value, Cut: sl.rule.Cut}
-			if sl.next >= 0 {
-				h.Also = t.slots[sl.next].rule.Key
+			effective := &t.slots[slotIndex]
+			settingEntry := settingLine{
+				Setting: name, Rule: effective.rule.Key, Mode: effective.rule.Mode, Value: effective.value, Cut: effective.rule.Cut,
 			}
-			l.Holds = append(l.Holds, h)
+			if effective.parentLimit >= 0 {
+				settingEntry.Also = t.slots[effective.parentLimit].rule.Key
+			}
+			line.Holds = append(line.Holds, settingEntry)
 		}
-		enc.Encode(l)
+		enc.Encode(line)
 	}
 	var pairs []int64
-	for p := range t.beats {
+	for p := range t.precedence {
 		pairs = append(pairs, p)
 	}
 	slices.Sort(pairs)
@@ -267,14 +273,14 @@
 		enc.Encode([]string{t.slots[p>>32].rule.Key, t.slots[p&0xffffffff].rule.Key})
 	}
 	enc.Encode(struct {
-		Laws map[string][2]int64 `json:"classes"`
-	}{t.lawNumbers()})
+		Classes map[string][2]int64 `json:"classes"`
+	}{t.classNumbers()})
 	return out.Bytes()
 }
 
-func (t *Table) lawNumbers() map[string][2]int64 {
-	out := map[string][2]int64{} // written in the order of its keys
-	for k, l := range t.laws {
+func (t *Table) classNumbers() map[string][2]int64 {
+	out := map[string][2]int64{} // encoding/json sorts the keys
+	for k, l := range t.classes {
 		n := [2]int64{l.attempts, 0}
 		if l.repeat {
 			n[1] = 1
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -1,5 +1,7 @@
-// Package rules is what teams have agreed on about the fleet's calls: who owns which namespace, what each may set, and
-// what is in force for a call. It is pure. docs/rules.md has the design.
+// Package rules implements the rules that teams set for the calls of the fleet: which team owns which namespace,
+// what each team may set, which settings conflict, and which ones apply to a call. A call is a client's request.
+// The package does no I/O and reads no clock; its results depend only on its arguments. docs/rules.md describes
+// the design.
 package rules
 
 import (
@@ -9,49 +11,49 @@
 	"burlpass/internal/record"
 )
 
-// The kinds of items in the record.
+// The kinds of items in the record, with what their keys are.
 const (
-	TeamKind      record.Kind = "team"      // by name
-	ClassKind     record.Kind = "class"     // by the class's name
-	NamespaceKind record.Kind = "namespace" // by its selector
-	GrantKind     record.Kind = "grant"     // by name
-	RuleKind      record.Kind = "rule"      // by RuleKey
-	DecisionKind  record.Kind = "decision"  // by PairKey
+	TeamKind      record.Kind = "team"      // name
+	ClassKind     record.Kind = "class"     // name of the class
+	NamespaceKind record.Kind = "namespace" // selector
+	GrantKind     record.Kind = "grant"     // name
+	RuleKind      record.Kind = "rule"      // RuleKey
+	DecisionKind  record.Kind = "decision"  // PairKey
 )
 
-// Kinds are all of them, in order.
+// Kinds returns the kinds of items that this package defines, sorted.
 func Kinds() []record.Kind {
 	return []record.Kind{ClassKind, DecisionKind, GrantKind, NamespaceKind, RuleKind, TeamKind}
 }
 
-// Known tells whether a kind is one of them.
+// Known reports whether a kind is one of Kinds.
 func Known(k record.Kind) bool { return slices.Contains(Kinds(), k) }
 
-// Setting is what a rule sets.
+// Setting is the property of calls that a rule sets.
 type Setting string
 
-// The settings. Of each, less is stricter.
+// The settings. For all of them, less is stricter.
 const (
-	Rate     Setting = "rate"     // thousandths of a request a second, for the fleet
-	Calls    Setting = "calls"    // at once, for the fleet
-	Attempts Setting = "attempts" // of a call, at most
-	Repeat   Setting = "repeat"   // 1: a call may be sent again
-	Deadline Setting = "deadline" // ms
-	Worth    Setting = "worth"    // 0 to 1000; the least is shed first
-	Callers  Setting = "callers"  // that may call
+	Rate     Setting = "rate"     // thousandths of a call per second, for the whole fleet
+	Calls    Setting = "calls"    // concurrent calls, for the whole fleet
+	Attempts Setting = "attempts" // maximum number per call
+	Repeat   Setting = "repeat"   // 1 if a call may be sent again, else 0
+	Deadline Setting = "deadline" // in ms
+	Worth    Setting = "worth"    // 0 to 1000; under overload, calls of the least worth are shed first
+	Callers  Setting = "callers"  // the callers that are allowed
 )
 
-// Settings are all settings, in the order of their numbers.
+// Settings returns all settings in the order of their indexes.
 func Settings() []Setting {
 	return []Setting{Rate, Calls, Attempts, Repeat, Deadline, Worth, Callers}
 }
 
-const settings = 7
+const settingCount = 7
 
-func (s Setting) known() bool { return s.number() >= 0 }
+func (s Setting) valid() bool { return s.index() >= 0 }
 
-// number is the setting's place in Settings, -1 for none.
-func (s Setting) number() int {
+// index returns the position of the setting in Settings, -1 if it is unknown.
+func (s Setting) index() int {
 	switch s {
 	case Rate:
 		return 0
@@ -71,11 +73,11 @@
 	return -1
 }
 
-// limit tells whether the setting is counted over the fleet, and can be a share.
-func (s Setting) limit() bool { return s == Rate || s == Calls }
+// isFleetLimit reports whether the setting is a limit for the whole fleet, which can be divided by shares.
+func (s Setting) isFleetLimit() bool { return s == Rate || s == Calls }
 
-// least and most are the values that a setting may have.
-func (s Setting) span() (least, most int64) {
+// valueRange returns the minimum and maximum value of the setting.
+func (s Setting) valueRange() (minimum, maximum int64) {
 	switch s {
 	case Rate:
 		return 0, 1e12
@@ -91,82 +93,86 @@
 	return 0, 1000
 }
 
-// Mode says what may be set below a rule.
+// Mode is what a rule allows in the namespaces below it.
 type Mode string
 
 // The modes.
 const (
 	Default Mode = "default" // a rule below replaces it
 	Bound   Mode = "bound"   // a rule below may only be stricter
-	Locked  Mode = "locked"  // there is no rule below
+	Locked  Mode = "locked"  // no rule may be set below
 )
 
-// Team can own namespaces and hold grants.
+// Team is a team, which can own namespaces and hold grants.
 type Team struct {
-	Dissolved bool `json:"dissolved,omitempty"` // what it owns falls to the owner of the parent
+	Dissolved bool `json:"dissolved,omitempty"` // its namespaces belong to the owner of the parent
 }
 
-// Class is the law of a class of calls, which no rule loosens.
+// Class has the limits of a class of calls, which rules can only make stricter.
 type Class struct {
-	Attempts int64 `json:"attempts"` // at most, 1 to 100
-	Repeat   bool  `json:"repeat"`   // may be sent again
+	Attempts int64 `json:"attempts"` // maximum, 1 to 100
+	Repeat   bool  `json:"repeat"`   // calls may be sent again
 }
 
-// Namespace is a node of the tree.
+// Namespace is a node in the tree of namespaces. Its key is its selector.
 type Namespace struct {
-	Parent string `json:"parent,omitempty"` // a selector; "" for the root alone
+	Parent string `json:"parent,omitempty"` // a selector; "" only for the root
 	Owner  string `json:"owner"`            // a team
 }
 
-// Value is what a setting is set to: one of its fields.
+// Value is the value of a setting. Exactly one field is set.
 type Value struct {
 	N       *int64   `json:"value,omitempty"`   // in the setting's unit
-	Share   *int64   `json:"share,omitempty"`   // rate and calls: 1 to 1000 thousandths of the limit above
-	Callers []string `json:"callers,omitempty"` // in order; at most 64
+	Share   *int64   `json:"share,omitempty"`   // for rate and calls: 1 to 1000 thousandths of the limit above
+	Callers []string `json:"callers,omitempty"` // sorted; at most 64
 }
 
-// maxCallers is how many callers one rule names.
+// maxCallers is the maximum number of callers in a rule.
 const maxCallers = 64
 
-// Rule sets one thing for a namespace.
+// Rule sets the value of a setting for a namespace.
 type Rule struct {
 	Mode  Mode       `json:"mode"`
-	Value            // of the setting in the key
-	Cut   *lease.Cut `json:"cut,omitempty"`   // rate and calls: what holds at a process that is cut off; nothing where it is nil
-	Under string     `json:"under,omitempty"` // the grant by which it is written; "": by right of owning the namespace
-	Needs string     `json:"needs,omitempty"` // the API version that it rests on
+	Value            // of the setting that the key names
+	Cut   *lease.Cut `json:"cut,omitempty"`   // for rate and calls: what applies to processes that are cut off; lease.Nothing if nil
+	Under string     `json:"under,omitempty"` // the grant that permits the rule; "" if its team owns the namespace
+	Needs string     `json:"needs,omitempty"` // the API version that the rule requires
 }
 
-// Cap is the loosest that a grant lets a setting be.
+// Cap is the loosest value that a grant allows for a setting.
 type Cap struct {
 	Setting Setting `json:"setting"`
 	Value
 }
 
-// Grant lets a team write rules in a namespace and below.
+// Grant allows a team to write rules for a namespace and those below it.
 type Grant struct {
 	In       string    `json:"in"` // a selector
 	To       string    `json:"to"` // a team
 	Under    string    `json:"under,omitempty"`
-	Pass     bool      `json:"pass,omitempty"`     // others may be given under it
-	Settings []Setting `json:"settings,omitempty"` // in order; all where empty
-	Caps     []Cap     `json:"caps,omitempty"`     // in the order of their settings; never a share
+	Pass     bool      `json:"pass,omitempty"`     // the team may give grants under this one
+	Settings []Setting `json:"settings,omitempty"` // in the order of Settings; all if empty
+	Caps     []Cap     `json:"caps,omitempty"`     // in the order of their settings; without shares
 }
 
-// Decision says which of two peers holds where both match.
+// Decision picks which of two rules is effective for calls that both match, where neither namespace is an ancestor
+// of the other.
 type Decision struct {
-	A    string `json:"a"` // the rules' keys, A before B
+	A    string `json:"a"` // the keys of the rules, A < B
 	B    string `json:"b"`
-	ASum string `json:"a_sum"` // their digests when it was decided: it covers no other values
+	ASum string `json:"a_sum"` // digests of the rules; the decision does not apply to other values
 	BSum string `json:"b_sum"`
 	Pick string `json:"pick"` // A or B
 	Why  string `json:"why,omitempty"`
 }
 
-func (g *Grant) covers(s Setting) bool { return len(g.Settings) == 0 || slices.Contains(g.Settings, s) }
+func (g *Grant) coversSetting(s Setting) bool {
+	return len(g.Settings) == 0 || slices.Contains(g.Settings, s)
+}
 
-// Tighter gives the stricter of two values, in which a share does not occur: of lists of callers, those in both.
-func tighter(a, b Value) Value {
+// stricterValue returns the stricter of two values, neither of which is a share. For lists of callers it is their
+// intersection.
+func stricterValue(a, b Value) Value {
 	if a.N != nil && b.N != nil {
 		if *b.N < *a.N {
 			return b
@@ -182,15 +188,15 @@
 	return out
 }
 
-// looser tells whether a allows what b does not.
-func looser(a, b Value) bool {
+// isLooser reports whether a allows anything that b does not.
+func isLooser(a, b Value) bool {
 	if a.N != nil && b.N != nil {
 		return *a.N > *b.N
 	}
 	return slices.ContainsFunc(a.Callers, func(c string) bool { return !slices.Contains(b.Callers, c) })
 }
 
-func same(a, b Value) bool {
-	eq := func(p, q *int64) bool { return (p == nil) == (q == nil) && (p == nil || *p == *q) }
-	return eq(a.N, b.N) && eq(a.Share, b.Share) && slices.Equal(a.Callers, b.Callers)
+func equalValues(a, b Value) bool {
+	equalInts := func(p, q *int64) bool { return (p == nil) == (q == nil) && (p == nil || *p == *q) }
+	return equalInts(a.N, b.N) && equalInts(a.Share, b.Share) && slices.Equal(a.Callers, b.Callers)
 }
--- a/internal/rules/values.go
+++ b/internal/rules/values.go
@@ -1,55 +1,57 @@
 package rules
 
-// ground is the limit that a share at a namespace divides: the rule of that setting that holds at the nearest namespace
-// above; nil where there is none.
-func (s *State) ground(n *node, setting int) *rule {
-	for n = n.up; n != nil; n = n.up {
-		if r := s.own(n, setting); r != nil {
+// parentLimit returns the limit that a share in a namespace divides: the effective rule for the setting of the
+// nearest ancestor that has one. It returns nil if there is none.
+func (state *State) parentLimit(below *node, setting int) *rule {
+	for below = below.parentNode; below != nil; below = below.parentNode {
+		if r := state.effectiveRule(below, setting); r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-// loses tells whether another rule at the same namespace is decided to hold in a rule's place.
-func (s *State) loses(n *node, r *rule) bool {
-	for _, q := range s.held[n.in][r.Setting.number()] {
-		if q != r && differ(q, r) && s.decided(q, r) == q {
+// isOverruled reports whether a decision puts another rule of the same namespace in the place of a rule.
+func (state *State) isOverruled(n *node, r *rule) bool {
+	for _, q := range state.rulesByNode[n.start][r.Setting.index()] {
+		if q != r && contradict(q, r) && state.decisionWinner(q, r) == q {
 			return true
 		}
 	}
 	return false
 }
 
-// resolved is a rule's value with shares worked out, rounded down; false for a share of nothing.
-func (s *State) resolved(r *rule) (Value, bool) {
+// resolvedValue returns the value of a rule, a share as the amount it comes to, rounded down. It returns false for
+// a share without a limit.
+func (state *State) resolvedValue(r *rule) (Value, bool) {
 	if r.Share == nil {
 		return r.Value, true
 	}
-	n := s.node(r)
+	n := state.ruleNode(r)
 	if n == nil {
 		return Value{}, false
 	}
-	g := s.ground(n, r.Setting.number())
-	if g == nil {
+	limit := state.parentLimit(n, r.Setting.index())
+	if limit == nil {
 		return Value{}, false
 	}
-	of, ok := s.resolved(g)
+	limitValue, ok := state.resolvedValue(limit)
 	if !ok {
 		return Value{}, false
 	}
-	part := *of.N * *r.Share / 1000 // at most 1e12 * 1000
+	part := *limitValue.N * *r.Share / 1000 // no overflow: at most 1e12 * 1000
 	return Value{N: &part}, true
 }
 
-// decided tells which of two rules a decision in force picks, nil for none. It covers only the values that it was made for.
-func (s *State) decided(a, b *rule) *rule {
+// decisionWinner returns the rule that a decision picks of two, nil if there is none. A decision applies only to
+// the values that it was made for.
+func (state *State) decisionWinner(a, b *rule) *rule {
 	if a.Key > b.Key {
 		a, b = b, a
 	}
-	d, ok := get[*Decision](s, DecisionKind, PairKey(a.Key, b.Key))
+	d, ok := lookupValue[*Decision](state, DecisionKind, PairKey(a.Key, b.Key))
 	switch {
-	case !ok || d.ASum != digest(a) || d.BSum != digest(b):
+	case !ok || d.ASum != ruleDigest(a) || d.BSum != ruleDigest(b):
 		return nil
 	case d.Pick == a.Key:
 		return a
@@ -57,17 +59,19 @@
 	return b
 }
 
-// differ tells whether two peers contradict each other, also in what holds where a process is cut off. Two limits at different namespaces always do: which of them counts a
-// call must be clear.
-func differ(a, b *rule) bool {
-	return a.Mode != b.Mode || !same(a.Value, b.Value) || a.cut() != b.cut() || a.Setting.limit() && a.In != b.In
+// contradict reports whether two rules for the same setting contradict each other. Rules that differ only in what
+// applies to processes that are cut off do, and so do any two limits of different namespaces: it must be clear
+// which of them counts a call.
+func contradict(a, b *rule) bool {
+	return a.Mode != b.Mode || !equalValues(a.Value, b.Value) || a.cutOrDefault() != b.cutOrDefault() ||
+		a.Setting.isFleetLimit() && a.In != b.In
 }
 
-// beats tells whether, where both match, a holds and not b.
-func (s *State) beats(a, b *rule) bool {
-	na, nb := s.node(a), s.node(b)
-	if nb.above(na) {
+// takesPrecedence reports whether a is effective instead of b for calls that both match.
+func (state *State) takesPrecedence(a, b *rule) bool {
+	nodeA, nodeB := state.ruleNode(a), state.ruleNode(b)
+	if nodeB.isAncestorOf(nodeA) {
 		return true
 	}
-	return !na.above(nb) && differ(a, b) && s.decided(a, b) == a
+	return !nodeA.isAncestorOf(nodeB) && contradict(a, b) && state.decisionWinner(a, b) == a
 }
--- a/internal/rules/world_test.go
+++ b/internal/rules/world_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		panic(err)
 	}
-	raw, _ := json.Marshal(kept{Now: now})
+	raw, _ := json.Marshal(storedValue{Now: now})
 	return record.Item{Kind: kind, Key: key, Value: raw, Version: version}
 }
 
@@ -111,7 +111,7 @@
 	switch {
 	case s == Callers:
 		return Value{Callers: rapid.SampledFrom([][]string{{"c1"}, {"c2"}, {"c1", "c2"}, {"c2", "c3"}}).Draw(t, "callers")}
-	case s.limit() && share && rapid.Bool().Draw(t, "share"):
+	case s.isFleetLimit() && share && rapid.Bool().Draw(t, "share"):
 		return Value{Share: ptr(rapid.SampledFrom([]int64{300, 600, 1000}).Draw(t, "of 1000"))}
 	}
 	return Value{N: ptr(rapid.Int64Range(1, 4).Draw(t, "value"))}
@@ -184,9 +184,9 @@
 }
 
 func drawDecision(t *rapid.T, s *State, a, b string) Decision {
-	ra, _ := get[*rule](s, RuleKind, a)
-	rb, _ := get[*rule](s, RuleKind, b)
-	d := Decision{A: a, B: b, ASum: digest(ra), BSum: digest(rb), Pick: rapid.SampledFrom([]string{a, b}).Draw(t, "pick")}
+	ra, _ := lookupValue[*rule](s, RuleKind, a)
+	rb, _ := lookupValue[*rule](s, RuleKind, b)
+	d := Decision{A: a, B: b, ASum: ruleDigest(ra), BSum: ruleDigest(rb), Pick: rapid.SampledFrom([]string{a, b}).Draw(t, "pick")}
 	if rapid.IntRange(0, 7).Draw(t, "other values") == 0 {
 		d.ASum = d.BSum
 	}
