--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -11,9 +11,10 @@
 	"burlpass/internal/record"
 )
 
-// big is 200 teams with 50 rules each, in 1,411 namespaces: a root, 10 islands, each with 20 teams' classes, each of these with 6 paths.
-func big() (items []record.Item) {
-	add := func(kind record.Kind, key string, v any) { items = append(items, item(kind, key, 1, v)) }
+// largeRuleSet returns 200 teams with 50 rules each, in 1,411 namespaces: a root, 10 islands, in each of them 20
+// classes, one per team, and in each class 6 paths.
+func largeRuleSet() (items []record.Item) {
+	add := func(kind record.Kind, key string, v any) { items = append(items, newItem(kind, key, 1, v)) }
 	add(TeamKind, "root", Team{})
 	add(NamespaceKind, "*/*/*", Namespace{Owner: "root"})
 	for i := range 10 {
@@ -52,7 +53,7 @@
 }
 
 func BenchmarkCompile(b *testing.B) {
-	items := big()
+	items := largeRuleSet()
 	s := mustMerge(b, items)
 	if c := s.Conflicts(Env{}); len(c) > 0 || len(valuesOf[*rule](s, RuleKind)) != 10_000 {
 		b.Fatal(len(c), len(valuesOf[*rule](s, RuleKind)))
@@ -75,42 +76,45 @@
 	})
 }
 
-// A change of one rule: the state and the table after it; from the record's items anew; and what the record's Check takes for it.
+// BenchmarkChange measures a change of one rule: deriving the state and the table, the same from all items of the
+// record, and the check of the write.
 func BenchmarkChange(b *testing.B) {
-	items := big()
+	items := largeRuleSet()
 	for _, key := range []string{"island3/*/class7/v1/path2#attempts#r", "island3/*/class7#attempts#r", "island3/*/class7#worth#r2"} {
 		b.Run(key, func(b *testing.B) {
-			s := mustMerge(b, items)
-			table := Compile(s, 1)
+			state := mustMerge(b, items)
+			table := Compile(state, 1)
 			for i := 0; b.Loop(); i++ {
-				value := item(RuleKind, key, 0, n(Default, int64(40+i%2))).Value
-				s, _ = s.With([]record.Change{{Kind: RuleKind, Key: key, Value: value}}, record.Version(i+2))
-				table = table.Update(s, record.Version(i+2))
+				value := newItem(RuleKind, key, 0, numberRule(Default, int64(40+i%2))).Value
+				state, _ = state.With([]record.Change{{Kind: RuleKind, Key: key, Value: value}}, record.Version(i+2))
+				table = table.Update(state, record.Version(i+2))
 			}
 		})
 	}
 	b.Run("from-items", func(b *testing.B) {
-		slices.SortFunc(items, func(a, b record.Item) int { // as the record gives them
+		slices.SortFunc(items, func(a, b record.Item) int { // the order in which the record returns them
 			return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Key, b.Key))
 		})
 		at := slices.IndexFunc(items, func(i record.Item) bool { return i.Key == "island3/*/class7#worth#r2" })
 		dec := &Decoder{}
-		s, _ := dec.Merge(items)
-		table := Compile(s, 1)
+		state, _ := dec.Merge(items)
+		table := Compile(state, 1)
 		for i := 0; b.Loop(); i++ {
-			items[at] = item(RuleKind, items[at].Key, record.Version(i+2), n(Default, int64(40+i%2)))
-			s, _ = dec.Merge(items)
-			table = table.Update(s, record.Version(i+2))
+			items[at] = newItem(RuleKind, items[at].Key, record.Version(i+2), numberRule(Default, int64(40+i%2)))
+			state, _ = dec.Merge(items)
+			table = table.Update(state, record.Version(i+2))
 		}
 	})
-	s := mustMerge(b, items)
+	state := mustMerge(b, items)
 	b.Run("check", func(b *testing.B) {
-		now := item(RuleKind, "island3/*/class7/v1/path2#attempts#r", 0, n(Default, 39)).Value
-		w := &record.Write{By: "team3-7", Changes: []record.Change{{Kind: RuleKind, Key: "island3/*/class7/v1/path2#attempts#r", Value: now}}}
+		now := newItem(RuleKind, "island3/*/class7/v1/path2#attempts#r", 0, numberRule(Default, 39)).Value
+		w := &record.Write{By: "team3-7", Changes: []record.Change{
+			{Kind: RuleKind, Key: "island3/*/class7/v1/path2#attempts#r", Value: now},
+		}}
 		for b.Loop() {
-			will, _ := s.With(w.Changes, 9)
-			f := &conflictFinder{state: will, before: s, conflicts: map[string]Conflict{}}
-			if f.findAffected(s, w.Changes); len(f.conflicts) > 0 {
+			will, _ := state.With(w.Changes, 9)
+			f := &conflictFinder{state: will, before: state, conflicts: map[string]Conflict{}}
+			if f.findAffected(state, w.Changes); len(f.conflicts) > 0 {
 				b.Fatal(f.sorted())
 			}
 		}
@@ -118,8 +122,12 @@
 }
 
 func BenchmarkLookup(b *testing.B) {
-	t := Compile(mustMerge(b, big()), 1)
-	for _, c := range []Call{{"island3", "h", "class7", "/v1/path2/seats", "app"}, {"island3", "h", "class7", "/other", "app"}, {"none", "h", "none", "/", "app"}} {
+	t := Compile(mustMerge(b, largeRuleSet()), 1)
+	for _, c := range []Call{
+		{"island3", "h", "class7", "/v1/path2/seats", "app"},
+		{"island3", "h", "class7", "/other", "app"},
+		{"none", "h", "none", "/", "app"},
+	} {
 		b.Run(c.Island+c.Path, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -129,7 +137,8 @@
 	}
 }
 
-// BenchmarkApply is a write of one rule to a record that holds 10,000: the record's Apply, with Check and what it reads.
+// BenchmarkApply measures a write of one rule to a record that holds 10,000: Machine.Apply, including Check and
+// decoding the state.
 func BenchmarkApply(b *testing.B) {
 	m := record.New(record.Bounds{}, Domains(nil)...)
 	write := func(w *record.Write) {
@@ -139,7 +148,7 @@
 		}
 	}
 	w := &record.Write{By: "root"}
-	for _, i := range big() {
+	for _, i := range largeRuleSet() {
 		by := "root"
 		if i.Kind == RuleKind || strings.Contains(i.Key, "/v1/") {
 			sel, _ := ParseSelector(strings.Split(i.Key, "#")[0])
--- a/internal/rules/world_test.go
+++ b/internal/rules/generators_test.go
@@ -12,14 +12,14 @@
 	"burlpass/internal/record"
 )
 
-// The small universe. Every call in it is tried by the references below, which know nothing of how selectors meet.
-
-func universe() (calls []Call) {
+// allCalls returns all calls of a small universe. The reference implementation tries each of them instead of
+// intersecting selectors.
+func allCalls() (calls []Call) {
 	for _, island := range []string{"a", "b", "any"} {
-		for _, hall := range []string{"h", "any"} {
+		for _, zone := range []string{"h", "any"} {
 			for _, class := range []string{"k", "l", "any"} {
 				for _, path := range []string{"", "/x", "/x/y", "/xx", "/z"} {
-					calls = append(calls, Call{island, hall, class, path, "c1"})
+					calls = append(calls, Call{island, zone, class, path, "c1"})
 				}
 			}
 		}
@@ -27,7 +27,7 @@
 	return calls
 }
 
-// matches is written apart from Selector.
+// matches reports whether a selector matches a call. It is independent of the implementation in Selector.
 func matches(selector string, c Call) bool {
 	parts := strings.Split(selector, "/")
 	for i, p := range []string{c.Island, c.Hall, c.Class} {
@@ -35,16 +35,16 @@
 			return false
 		}
 	}
-	want, have := parts[3:], strings.Split(c.Path, "/")[1:]
+	wantPath, callPath := parts[3:], strings.Split(c.Path, "/")[1:]
 	if c.Path == "" {
-		have = nil
+		callPath = nil
 	}
-	return len(have) >= len(want) && slices.Equal(have[:len(want)], want)
+	return len(callPath) >= len(wantPath) && slices.Equal(callPath[:len(wantPath)], wantPath)
 }
 
 func ptr(n int64) *int64 { return &n }
 
-func item(kind record.Kind, key string, version record.Version, v any) record.Item {
+func newItem(kind record.Kind, key string, version record.Version, v any) record.Item {
 	now, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -62,36 +62,38 @@
 	return s
 }
 
-// drawTree draws namespaces below a root, each below the smallest one that contains it in a branch that is drawn.
+// drawTree draws namespaces below a root. For each it descends from the root into drawn children as long as these
+// contain it.
 func drawTree(t *rapid.T) map[string]Namespace {
-	var all []Selector
+	var selectors []Selector
 	for range rapid.IntRange(1, 6).Draw(t, "namespaces") {
-		all = append(all, Selector{
+		selectors = append(selectors, Selector{
 			rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "island"), rapid.SampledFrom([]string{"", "", "h"}).Draw(t, "hall"),
-			rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "class"), rapid.SampledFrom([]string{"", "", "/x", "/x/y", "/xx"}).Draw(t, "path"),
+			rapid.SampledFrom([]string{"", "k", "l"}).Draw(t, "class"),
+			rapid.SampledFrom([]string{"", "", "/x", "/x/y", "/xx"}).Draw(t, "path"),
 		})
 	}
 	width := func(s Selector) int { return strings.Count(s.String(), "*")*4 - strings.Count(s.Path, "/") }
-	slices.SortFunc(all, func(a, b Selector) int { return width(b) - width(a) })
+	slices.SortFunc(selectors, func(a, b Selector) int { return width(b) - width(a) })
 	tree := map[string]Namespace{"*/*/*": {Owner: "t0"}}
-	for _, s := range all {
+	for _, s := range selectors {
 		if _, ok := tree[s.String()]; ok {
 			continue
 		}
 		parent := "*/*/*"
 		for {
-			var down []string
+			var containing []string
 			for key, n := range tree {
 				sel, _ := ParseSelector(key)
 				if n.Parent == parent && sel.Contains(s) {
-					down = append(down, key)
+					containing = append(containing, key)
 				}
 			}
-			if len(down) == 0 {
+			if len(containing) == 0 {
 				break
 			}
-			slices.Sort(down)
-			parent = rapid.SampledFrom(down).Draw(t, "parent")
+			slices.Sort(containing)
+			parent = rapid.SampledFrom(containing).Draw(t, "parent")
 		}
 		tree[s.String()] = Namespace{parent, rapid.SampledFrom([]string{"t0", "t1", "t2", "t3"}).Draw(t, "owner")}
 	}
@@ -117,10 +119,10 @@
 	return Value{N: ptr(rapid.Int64Range(1, 4).Draw(t, "value"))}
 }
 
-func drawRule(t *rapid.T, spaces, grants []string) (string, Rule) {
+func drawRule(t *rapid.T, namespaces, grants []string) (string, Rule) {
 	k := RuleKey{Setting: rapid.SampledFrom([]Setting{Rate, Attempts, Callers}).Draw(t, "setting"),
 		Name: rapid.SampledFrom([]string{"r", "r", "r", "s"}).Draw(t, "name")}
-	k.In, _ = ParseSelector(rapid.SampledFrom(spaces).Draw(t, "in"))
+	k.In, _ = ParseSelector(rapid.SampledFrom(namespaces).Draw(t, "in"))
 	r := Rule{Mode: rapid.SampledFrom([]Mode{Default, Default, Bound, Locked}).Draw(t, "mode"), Value: drawValue(t, k.Setting, true),
 		Needs: rapid.SampledFrom([]string{"", "", "", "v1"}).Draw(t, "needs")}
 	if k.Setting == Rate {
@@ -133,25 +135,28 @@
 	return k.String(), r
 }
 
-// drawItems draws a set that may have conflicts of every kind, but names no namespace or team that is not there.
+// drawItems draws a set of items that may have conflicts of every kind, but refers only to namespaces and teams
+// that exist.
 func drawItems(t *rapid.T) []record.Item {
 	var items []record.Item
 	add := func(kind record.Kind, key string, v any) {
-		items = append(items, item(kind, key, record.Version(len(items)+1), v))
+		items = append(items, newItem(kind, key, record.Version(len(items)+1), v))
 	}
 	for _, team := range []string{"t0", "t1", "t2", "t3"} {
 		add(TeamKind, team, Team{Dissolved: team != "t0" && rapid.IntRange(0, 5).Draw(t, "dissolved") == 0})
 	}
 	add(ClassKind, "k", Class{Attempts: 2})
 	tree := drawTree(t)
-	spaces := sortedKeys(tree)
-	for _, key := range spaces {
+	namespaces := sortedKeys(tree)
+	for _, key := range namespaces {
 		add(NamespaceKind, key, tree[key])
 	}
 	grants := []string{"g0", "g1", "g2"}[:rapid.IntRange(0, 3).Draw(t, "grants")]
 	for _, key := range grants {
-		g := Grant{In: rapid.SampledFrom(spaces).Draw(t, "in"), To: rapid.SampledFrom([]string{"t1", "t2", "t3"}).Draw(t, "to"),
-			Under: rapid.SampledFrom(slices.DeleteFunc(append([]string{"", "", "gone"}, grants...), func(o string) bool { return o == key })).Draw(t, "under"), Pass: rapid.Bool().Draw(t, "pass")}
+		g := Grant{In: rapid.SampledFrom(namespaces).Draw(t, "in"), To: rapid.SampledFrom([]string{"t1", "t2", "t3"}).Draw(t, "to"),
+			Under: rapid.SampledFrom(slices.DeleteFunc(append([]string{"", "", "gone"}, grants...),
+				func(o string) bool { return o == key })).Draw(t, "under"),
+			Pass: rapid.Bool().Draw(t, "pass")}
 		if rapid.Bool().Draw(t, "capped") {
 			g.Caps = []Cap{{Attempts, drawValue(t, Attempts, false)}}
 		}
@@ -162,7 +167,7 @@
 	}
 	rules := map[string]bool{}
 	for range rapid.IntRange(1, 7).Draw(t, "rules") {
-		key, r := drawRule(t, spaces, grants)
+		key, r := drawRule(t, namespaces, grants)
 		if !rules[key] {
 			rules[key] = true
 			add(RuleKind, key, r)
@@ -193,8 +198,8 @@
 	return d
 }
 
-// retired ends version v1 for class l.
-func retired() Env {
+// v1Retired returns an environment in which version v1 is retired for class l.
+func v1Retired() Env {
 	return Env{Retired: func(v string) []Timeline {
 		if v != "v1" {
 			return nil
--- a/internal/rules/limits_test.go
+++ b/internal/rules/limits_test.go
@@ -9,31 +9,31 @@
 	"burlpass/internal/lease"
 )
 
-// What is set aside for processes that are cut off is not there to be shared out.
-func TestReserveAndShares(t *testing.T) {
-	d := newDesk(t)
+// The reserve of a limit for processes that are cut off is not available for shares.
+func TestReserveCountsAgainstShares(t *testing.T) {
+	fixture := newRecordFixture(t)
 	root := Rule{Mode: Default, Value: Value{N: ptr(int64(10_000))}, Cut: &lease.Cut{Mode: lease.Reserve, Share: 200, Among: 8}}
-	d.ok("root", RuleKind, "*/*/*#rate#r", root)
-	d.no("the shares of it and its reserve of 200 come to 1100", "book", RuleKind, "*/*/booking#rate#b", share(900))
-	part := share(800)
+	fixture.mustApply("root", RuleKind, "*/*/*#rate#r", root)
+	fixture.mustRefuse("the shares of it and its reserve of 200 come to 1100", "book", RuleKind, "*/*/booking#rate#b", shareRule(900))
+	part := shareRule(800)
 	part.Cut = &lease.Cut{Mode: lease.Open}
-	d.ok("book", RuleKind, "*/*/booking#rate#b", part)
+	fixture.mustApply("book", RuleKind, "*/*/booking#rate#b", part)
 	root.Cut = &lease.Cut{Mode: lease.Reserve, Share: 201, Among: 8}
-	d.no("come to 1001", "root", RuleKind, "*/*/*#rate#r", root)
+	fixture.mustRefuse("come to 1001", "root", RuleKind, "*/*/*#rate#r", root)
 	want := []lease.Limit{
 		{ID: "*/*/*#rate#r", Kind: "rate", Amount: 10_000, Cut: lease.Cut{Mode: "reserve", Share: 200, Among: 8}},
 		{ID: "*/*/booking#rate#b", Kind: "rate", Amount: 8_000, Cut: lease.Cut{Mode: "open"}},
 	}
-	table := Compile(d.state(), 1)
+	table := Compile(fixture.state(), 1)
 	if diff := cmp.Diff(want, table.Limits()); diff != "" {
 		t.Error(diff)
 	}
 	if got := table.Owner("*/*/booking#rate#b"); got != "book" {
-		t.Errorf("it is %q's", got)
+		t.Errorf("owner %q, want book", got)
 	}
 }
 
-func TestCutFaults(t *testing.T) {
+func TestCutValidation(t *testing.T) {
 	for value, want := range map[string]string{
 		`{"mode":"default","value":1,"cut":{"mode":"open"}}`:                                 "",
 		`{"mode":"default","value":1,"cut":{"mode":"reserve","share":1,"among":1}}`:          "",
@@ -51,10 +51,11 @@
 				t.Errorf("%s: %s", value, got)
 			}
 		} else if want != "" {
-			t.Errorf("%s: no %q", value, want)
+			t.Errorf("%s: no error, want %q", value, want)
 		}
 	}
-	if _, err := canonicalValue(RuleKind, "*/*/*#worth#r", []byte(`{"now":{"mode":"default","value":1,"cut":{"mode":"open"}}}`)); err == nil {
-		t.Error("worth has a cut")
+	if _, err := canonicalValue(RuleKind, "*/*/*#worth#r",
+		[]byte(`{"now":{"mode":"default","value":1,"cut":{"mode":"open"}}}`)); err == nil {
+		t.Error("a cut was accepted for worth")
 	}
 }
