--- a/internal/rules/lookup.go
+++ b/internal/rules/lookup.go
@@ -18,11 +18,11 @@
 }
 
 func newNamespaceIndex(preorder []*node) *namespaceIndex {
-	p := &namespaceIndex{
+	index := &namespaceIndex{
 		islands: map[string]uint32{}, zones: map[string]uint32{}, classes: map[string]uint32{}, segments: map[string]uint32{},
 		roots: map[uint64]int32{}, children: map[uint64]int32{},
 	}
-	number := func(m map[string]uint32, s string) uint32 {
+	idOf := func(m map[string]uint32, s string) uint32 {
 		if s == "" {
 			return 0
 		}
@@ -34,22 +34,22 @@
 	childNode := func(m map[uint64]int32, key uint64) int32 {
 		trieNode, ok := m[key]
 		if !ok {
-			trieNode = int32(len(p.namespaces))
-			p.namespaces = append(p.namespaces, -1)
+			trieNode = int32(len(index.namespaces))
+			index.namespaces = append(index.namespaces, -1)
 			m[key] = trieNode
 		}
 		return trieNode
 	}
 	for i, n := range preorder {
-		trieNode := childNode(p.roots, rootKey(number(p.islands, n.Island), number(p.zones, n.Hall), number(p.classes, n.Class)))
+		trieNode := childNode(index.roots, rootKey(idOf(index.islands, n.Island), idOf(index.zones, n.Hall), idOf(index.classes, n.Class)))
 		for s := range strings.SplitSeq(strings.TrimPrefix(n.Path, "/"), "/") {
 			if s != "" {
-				trieNode = childNode(p.children, uint64(trieNode)<<32|uint64(number(p.segments, s)))
+				trieNode = childNode(index.children, uint64(trieNode)<<32|uint64(idOf(index.segments, s)))
 			}
 		}
-		p.namespaces[trieNode] = int32(i)
+		index.namespaces[trieNode] = int32(i)
 	}
-	return p
+	return index
 }
 
 func rootKey(island, zone, class uint32) uint64 {
@@ -64,17 +64,17 @@
 }
 
 // add inserts a namespace and keeps the list in the order of the tree.
-func (f *matchList) add(node int32) {
-	i := f.count
-	for ; i > 0 && f.nodes[i-1] > node; i-- {
-		f.nodes[i] = f.nodes[i-1]
+func (list *matchList) add(node int32) {
+	i := list.count
+	for ; i > 0 && list.nodes[i-1] > node; i-- {
+		list.nodes[i] = list.nodes[i-1]
 	}
-	f.nodes[i] = node
-	f.count++
+	list.nodes[i] = node
+	list.count++
 }
 
-func (p *namespaceIndex) match(c *Call, matches *matchList) {
-	island, zone, class := p.islands[c.Island], p.zones[c.Hall], p.classes[c.Class]
+func (index *namespaceIndex) match(c *Call, matches *matchList) {
+	island, zone, class := index.islands[c.Island], index.zones[c.Hall], index.classes[c.Class]
 	var path [maxSegments]uint32
 	depth := 0
 	for rest := c.Path; depth < maxSegments && len(rest) > 1 && rest[0] == '/'; depth++ {
@@ -83,7 +83,7 @@
 			s = s[:end]
 		}
 		rest = rest[1+len(s):]
-		if path[depth] = p.segments[s]; path[depth] == 0 {
+		if path[depth] = index.segments[s]; path[depth] == 0 {
 			break
 		}
 	}
@@ -104,15 +104,15 @@
 		} else if k == 0 {
 			continue
 		}
-		trieNode, ok := p.roots[rootKey(i, z, k)]
+		trieNode, ok := index.roots[rootKey(i, z, k)]
 		for d := 0; ok; d++ {
-			if node := p.namespaces[trieNode]; node >= 0 {
+			if node := index.namespaces[trieNode]; node >= 0 {
 				matches.add(node)
 			}
 			if d == depth {
 				break
 			}
-			trieNode, ok = p.children[uint64(trieNode)<<32|uint64(path[d])]
+			trieNode, ok = index.children[uint64(trieNode)<<32|uint64(path[d])]
 		}
 	}
 }
--- a/internal/rules/selector.go
+++ b/internal/rules/selector.go
@@ -91,6 +91,7 @@
 	return out, true
 }
 
+// intersectPart sets a to the intersection with b, where "" is any value. It returns false if that is empty.
 func intersectPart(a *string, b string) bool {
 	if *a == "" {
 		*a = b
--- a/internal/rules/state.go
+++ b/internal/rules/state.go
@@ -183,6 +183,7 @@
 	}
 }
 
+// newState indexes entries: it builds the tree of namespaces and assigns the rules to its nodes.
 func newState(entries map[itemKey]*entry) *State {
 	s := &State{tree: &tree{nodes: map[string]*node{}}, entries: entries}
 	var rules []*rule
@@ -264,6 +265,7 @@
 	return fmt.Sprintf("%016x%016x%016x%016x", state.digest[0], state.digest[1], state.digest[2], state.digest[3])
 }
 
+// lookupValue returns the current value under a key, or false if there is none.
 func lookupValue[T any](s *State, kind record.Kind, key string) (T, bool) {
 	var zero T
 	e := s.entries[itemKey{kind, key}]
@@ -312,6 +314,7 @@
 	return state.rootOwner()
 }
 
+// activeOwner returns the nearest active team that owns the namespace or an ancestor, "" if there is none.
 func (state *State) activeOwner(n *node) string {
 	for ; n != nil; n = n.parentNode {
 		if state.isActiveTeam(n.Owner) {
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -37,6 +37,7 @@
 	parentLimit int32 // the slot of the next limit above that counts the call too; -1 for none
 }
 
+// classLimits are the limits of a Class.
 type classLimits struct {
 	attempts int64
 	repeat   bool
--- a/internal/rules/values.go
+++ b/internal/rules/values.go
@@ -2,9 +2,9 @@
 
 // parentLimit returns the limit that a share in a namespace divides: the effective rule for the setting of the
 // nearest ancestor that has one. It returns nil if there is none.
-func (state *State) parentLimit(below *node, setting int) *rule {
-	for below = below.parentNode; below != nil; below = below.parentNode {
-		if r := state.effectiveRule(below, setting); r != nil {
+func (state *State) parentLimit(n *node, setting int) *rule {
+	for n = n.parentNode; n != nil; n = n.parentNode {
+		if r := state.effectiveRule(n, setting); r != nil {
 			return r
 		}
 	}
