--- a/internal/clustertest/mutants/list.go
+++ b/internal/clustertest/mutants/list.go
@@ -23,7 +23,7 @@
 	const write = "record/write.go"
 	return []Mutant{
 		mutant("last-writer-wins", "a write that rests on an old version is taken", []h.Promise{h.Linear},
-			edit(write, "newer := m.newer(after, w.Base); newer != nil {", "newer := m.newer(after, w.Base); newer != nil && w.ID == \"\" {")),
+			edit(write, "newer := m.newerItems(after, w.Base); newer != nil {", "newer := m.newerItems(after, w.Base); newer != nil && w.ID == \"\" {")),
 		mutant("applied-partly", "of a write with several changes those without a conflict stand", []h.Promise{h.Kept},
 			edit(write, "		i := newer[0]\n", `		for _, c := range changes {
 			if !slices.ContainsFunc(newer, func(n Item) bool { return n.Key == c.Key }) {
@@ -33,16 +33,16 @@
 		i := newer[0]
 `)),
 		mutant("removed-comes-back", "a write that has not seen a removal sets the item again", []h.Promise{h.Linear},
-			edit(write, "ok && g.Version > base {", "ok && g.Version > base && base > m.version {")),
+			edit(write, "ok && removed.Version > base {", "ok && removed.Version > base && base > m.version {")),
 		mutant("ids-not-in-snapshot", "a snapshot has no table of ids", []h.Promise{h.OneResult},
-			edit("record/save.go", "s.items.gone.Len(), s.results.byAge.Len()})", "s.items.gone.Len(), 0})"),
-			edit("record/save.go", "	s.results.byAge.Ascend(func(r remembered) bool { return put(r.Result) })\n", ""),
+			edit("record/save.go", "s.items.tombstone.Len(), s.results.byVersion.Len()})", "s.items.tombstone.Len(), 0})"),
+			edit("record/save.go", "	s.results.byVersion.Ascend(func(r storedResult) bool { return put(r.Result) })\n", ""),
 			edit("record/sum.go", "total[i] += s.results.sum[i]", "total[i] += 0")),
 		mutant("ids-of-one-leader", "the table of ids is each leader's own", []h.Promise{h.OneResult},
 			edit(write, "	if first, ok := m.results.get(w.ID); ok {\n		first.Again = true\n		return first\n	}\n",
 				`	if _, ok := m.results.get(w.ID); ok {
-		r := m.judge(w, forms)
-		r.ID, r.Version, r.Reason = w.ID, m.version, reason(r.Reason)
+		r := m.evaluate(w, values)
+		r.ID, r.Version, r.Reason = w.ID, m.version, sanitizeReason(r.Reason)
 		return r
 	}
 `),
--- a/internal/clustertest/mutants/observers.go
+++ b/internal/clustertest/mutants/observers.go
@@ -16,9 +16,9 @@
 			}
 `),
 		edit(restore, "		if err := m.readItem(in); err != nil {\n			return err", "		if err := m.readItem(in); err != nil {\n			return nil"),
-		edit(restore, "		if err := m.readGone(in); err != nil {\n			return err", "		if err := m.readGone(in); err != nil {\n			return nil"),
+		edit(restore, "		if err := m.readTombstone(in); err != nil {\n			return err", "		if err := m.readTombstone(in); err != nil {\n			return nil"),
 		edit(restore, "		if err := m.readResult(in); err != nil {\n			return err", "		if err := m.readResult(in); err != nil {\n			return nil"),
-		edit(restore, "	if line, err = in.next(); err != nil {\n		return err\n	}\n	var end last", "	if line, err = in.next(); err != nil {\n		return nil\n	}\n	var end last"),
+		edit(restore, "	if line, err = in.next(); err != nil {\n		return err\n	}\n	var tail trailer", "	if line, err = in.next(); err != nil {\n		return nil\n	}\n	var tail trailer"),
 		unchecked)
 	half.Plan = cutShort
 	const frames = "cluster/frames/frames.go"
@@ -28,7 +28,7 @@
 	blind := mutant("hash-unchecked", "an observer compares no hash; frames are not checked either, or none would be wrong", []h.Promise{h.Kept, h.SameHash},
 		edit("cluster/replica/stage.go", "if after.Version() != version || after.Hash() != hash {", "if after.Version() != version {"),
 		edit(run, "if b.Version == has.Version() && b.Hash != has.Hash() {", "if b.Version == has.Version() && b.Hash == \"\" {"),
-		edit(restore, "!end.End || got != end.Hash {", "!end.End || got == \"\" {"),
+		edit(restore, "!tail.End || got != tail.Hash {", "!tail.End || got == \"\" {"),
 		unchecked, spoilt)
 	blind.Plan = spoiltObservers
 	floor := mutant("floor-ignored", "an observer forgets at a restart what it has shown", []h.Promise{h.NeverBack},
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -10,32 +10,32 @@
 
 const benchItems = 100_000
 
-// large is a machine of orders, which one in four ends by itself, and a full table of results.
-func large(b *testing.B) *Machine {
+// newLargeMachine returns a machine with benchItems orders, one in four of which expires, and a full table of results.
+func newLargeMachine(b *testing.B) *Machine {
 	m := New(Bounds{}, Orders())
 	for i := range benchItems {
-		if r := m.Apply(order(m, i)); r.Outcome != Applied {
+		if r := m.Apply(orderEntry(m, i)); r.Outcome != Applied {
 			b.Fatal(r)
 		}
 	}
 	return m
 }
 
-func order(m *Machine, i int) *Entry {
-	v := disable
+func orderEntry(m *Machine, i int) *Entry {
+	v := disableValue
 	if i%4 == 0 {
-		v = until(int64(1_800_000_000_000 + i))
+		v = drainUntil(int64(1_800_000_000_000 + i))
 	}
-	n := i * 7919 % benchItems // not in order
-	return entry(fmt.Sprintf("write-%d-%d", m.version, i), m.version, fmt.Sprintf("worker/s-%06d %s", n, v))
+	n := i * 7919 % benchItems // not in key order
+	return writeEntry(fmt.Sprintf("write-%d-%d", m.version, i), m.version, fmt.Sprintf("worker/s-%06d %s", n, v))
 }
 
-// BenchmarkApply is a write of one order, with a view after each as a replica takes it.
+// BenchmarkApply applies writes of one order each and takes a view after each, as a replica does.
 func BenchmarkApply(b *testing.B) {
-	m := large(b)
+	m := newLargeMachine(b)
 	entries := make([]*Entry, b.N)
 	for i := range entries {
-		entries[i] = order(m, i)
+		entries[i] = orderEntry(m, i)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -49,17 +49,17 @@
 }
 
 func BenchmarkView(b *testing.B) {
-	m := large(b)
+	m := newLargeMachine(b)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		m.shown = nil
+		m.cachedView = nil
 		m.View()
 	}
 }
 
 func BenchmarkSave(b *testing.B) {
-	v := large(b).View()
+	v := newLargeMachine(b).View()
 	b.ResetTimer()
 	for range b.N {
 		if err := Save(io.Discard, v); err != nil {
@@ -69,7 +69,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	raw := saved(b, large(b).View())
+	raw := savedBytes(b, newLargeMachine(b).View())
 	m := New(Bounds{}, Orders())
 	b.SetBytes(int64(len(raw)))
 	b.ResetTimer()
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap's bytes an item, by itself and with a full table of results spread over the items.
+// BenchmarkMemory reports the heap bytes per item and per retained result.
 func BenchmarkMemory(b *testing.B) {
 	heap := func() int {
 		runtime.GC()
@@ -90,12 +90,12 @@
 	}
 	for range b.N {
 		before := heap()
-		m := large(b)
+		m := newLargeMachine(b)
 		all := heap() - before
-		m.results = newResults()
+		m.results = newResultTable()
 		items := heap() - before
 		b.ReportMetric(float64(items)/benchItems, "B/item")
-		b.ReportMetric(float64(all-items)/float64(m.rules.Bounds.Results), "B/result")
+		b.ReportMetric(float64(all-items)/float64(m.params.Bounds.Results), "B/result")
 		runtime.KeepAlive(m)
 	}
 }
--- a/internal/record/clock.go
+++ b/internal/record/clock.go
@@ -6,40 +6,41 @@
 	"slices"
 )
 
-// maxReadings is how many readings a clock entry may have.
+// maxReadings is the maximum number of readings in a clock entry.
 const maxReadings = 15
 
-// clock moves the record's time on, and ends what it is time for. Applied means that the readings count, also where they do
-// not move the time.
-func (m *Machine) clock(c *Clock) Result {
-	if err := c.check(); err != nil {
-		return Result{Outcome: Invalid, Reason: reason(err.Error())}
+// applyClock advances the record's time to the lower median of the readings and removes the items that have expired by
+// then. The outcome is Applied for valid readings, even if they do not advance the time.
+func (m *Machine) applyClock(c *Clock) Result {
+	if err := c.validate(); err != nil {
+		return Result{Outcome: Invalid, Reason: sanitizeReason(err.Error())}
 	}
 	readings := slices.SortedFunc(slices.Values(c.Readings), func(a, b Reading) int { return cmp.Compare(a.Ms, b.Ms) })
 	if median := readings[(len(readings)-1)/2].Ms; median > m.time {
 		m.time = median
-		for _, h := range m.items.ended(median) {
-			m.items.put(&held{Item: Item{Kind: h.Kind, Key: h.Key, Version: m.version}})
+		for _, item := range m.items.endingBy(median) {
+			m.items.put(&storedItem{Item: Item{Kind: item.Kind, Key: item.Key, Version: m.version}})
 		}
-		m.forget()
+		m.pruneTombstones()
 	}
 	return Result{Outcome: Applied}
 }
 
-func (c *Clock) check() error {
-	n := len(c.Readings)
+// validate requires readings from a majority of the voters, with at most one reading from each.
+func (c *Clock) validate() error {
+	count := len(c.Readings)
 	switch {
 	case c.Voters < 1:
 		return fmt.Errorf("clock.voters: %d", c.Voters)
-	case n > maxReadings || n > c.Voters:
-		return fmt.Errorf("clock.readings: %d of them, of %d voters; there may be %d", n, c.Voters, min(maxReadings, c.Voters))
-	case n <= c.Voters/2:
-		return fmt.Errorf("clock.readings: %d are no majority of %d voters", n, c.Voters)
+	case count > maxReadings || count > c.Voters:
+		return fmt.Errorf("clock.readings: %d of them, of %d voters; there may be %d", count, c.Voters, min(maxReadings, c.Voters))
+	case count <= c.Voters/2:
+		return fmt.Errorf("clock.readings: %d are no majority of %d voters", count, c.Voters)
 	}
-	for i, r := range c.Readings {
+	for i, reading := range c.Readings {
 		for _, other := range c.Readings[:i] {
-			if other.Voter == r.Voter {
-				return fmt.Errorf("clock.readings[%d].voter: %.40q is there twice", i, r.Voter)
+			if other.Voter == reading.Voter {
+				return fmt.Errorf("clock.readings[%d].voter: %.40q is there twice", i, reading.Voter)
 			}
 		}
 	}
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -8,80 +8,84 @@
 	"unicode/utf8"
 )
 
-// format is the number of the form in which entries and states are written. What changes the meaning of an entry, also in
-// a Domain, takes a new one.
-const format = 1
+// formatVersion is the version of the encoding of entries and saved states. Any change to the meaning of an entry,
+// including one in a Domain, requires a new version.
+const formatVersion = 1
 
-// begin is what everything of that format begins with.
-const begin = `{"f":1,`
+// formatPrefix starts every value encoded with formatVersion.
+const formatPrefix = `{"f":1,`
 
-// ErrFormat says that bytes are not of a form that this program reads; the text names the format that they claim.
-var ErrFormat = errors.New("record: not of a format that is known here")
+// ErrFormat reports bytes in an encoding that this program does not read. The error text names the format version that
+// they claim.
+var ErrFormat = errors.New("record: unknown format")
 
-type coded struct {
+// encodedEntry is an Entry with its format version.
+type encodedEntry struct {
 	Format int `json:"f"`
 	Entry
 }
 
-// Encode gives an entry in its one canonical form: JSON with the format's number. It fails for an entry that does not hold
-// exactly one thing, for values that are not JSON, and for texts with control characters or not in UTF-8.
+// Encode returns the canonical encoding of an entry: JSON with the format version. It fails for an entry that does not
+// hold exactly one of a write and a clock, for values that are not JSON, and for texts that contain control characters or
+// are not valid UTF-8.
 func Encode(e *Entry) ([]byte, error) {
 	if e == nil || (e.Write == nil) == (e.Clock == nil) {
 		return nil, errors.New("record: an entry must hold either a write or a clock")
 	}
-	if err := e.plain(); err != nil {
+	if err := e.checkText(); err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	raw, err := json.Marshal(coded{format, *e})
+	raw, err := json.Marshal(encodedEntry{formatVersion, *e})
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
 	return raw, nil
 }
 
-// plain refuses texts that JSON would not give back as they are.
-func (e *Entry) plain() error {
+// checkText rejects texts that would not survive a round trip through JSON unchanged.
+func (e *Entry) checkText() error {
 	if e.Clock != nil {
 		for i, r := range e.Clock.Readings {
-			if !plain(r.Voter) {
+			if !isPlainText(r.Voter) {
 				return fmt.Errorf("clock.readings[%d].voter: not plain text", i)
 			}
 		}
 		return nil
 	}
-	if !plain(e.Write.ID) || !plain(e.Write.By) {
+	if !isPlainText(e.Write.ID) || !isPlainText(e.Write.By) {
 		return errors.New("write: id or by is not plain text")
 	}
 	for i, c := range e.Write.Changes {
-		if !plain(string(c.Kind)) || !plain(c.Key) || !utf8.Valid(c.Value) {
+		if !isPlainText(string(c.Kind)) || !isPlainText(c.Key) || !utf8.Valid(c.Value) {
 			return fmt.Errorf("changes[%d]: not plain text", i)
 		}
 	}
 	return nil
 }
 
-// Decode reads what Encode wrote, and nothing else: an entry has one form. Its errors are ErrFormat.
+// Decode parses the output of Encode. It accepts nothing but the canonical encoding, so each entry has exactly one. Its
+// errors wrap ErrFormat.
 func Decode(raw []byte) (*Entry, error) {
-	if err := known(raw); err != nil {
+	if err := checkFormat(raw); err != nil {
 		return nil, err
 	}
-	var c coded
-	if err := exact(raw, &c); err != nil {
-		return nil, fmt.Errorf("%w: format %d: %w", ErrFormat, format, err)
+	var c encodedEntry
+	if err := unmarshalCanonical(raw, &c); err != nil {
+		return nil, fmt.Errorf("%w: format %d: %w", ErrFormat, formatVersion, err)
 	}
 	if (c.Write == nil) == (c.Clock == nil) {
-		return nil, fmt.Errorf("%w: format %d: neither a write nor a clock, or both", ErrFormat, format)
+		return nil, fmt.Errorf("%w: format %d: an entry with neither a write nor a clock, or with both", ErrFormat, formatVersion)
 	}
-	if err := c.plain(); err != nil {
-		return nil, fmt.Errorf("%w: format %d: %w", ErrFormat, format, err)
+	if err := c.checkText(); err != nil {
+		return nil, fmt.Errorf("%w: format %d: %w", ErrFormat, formatVersion, err)
 	}
 	return &c.Entry, nil
 }
 
-// known refuses another format than this one, before anything else of the bytes is looked at.
-func known(raw []byte) error {
-	if bytes.HasPrefix(raw, []byte(begin)) {
-		return nil // another format that is told after this one is found with all else that is not canonical
+// checkFormat rejects other format versions before the rest of the bytes is parsed.
+func checkFormat(raw []byte) error {
+	if bytes.HasPrefix(raw, []byte(formatPrefix)) {
+		return nil // a second, different "f" field is not canonical and is rejected later
 	}
 	var c struct {
 		Format int `json:"f"`
@@ -89,28 +93,28 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return fmt.Errorf("%w: no format: %w", ErrFormat, err)
 	}
-	if c.Format != format {
-		return fmt.Errorf("%w: format %d, and this program reads %d", ErrFormat, c.Format, format)
+	if c.Format != formatVersion {
+		return fmt.Errorf("%w: format %d, and this program reads %d", ErrFormat, c.Format, formatVersion)
 	}
 	return nil
 }
 
-// exact reads JSON that must be, byte for byte, what is written for what it says. Fields that are not known, or known by
-// another spelling, or there twice, cannot pass.
-func exact(raw []byte, into any) error {
-	if err := json.Unmarshal(raw, into); err != nil {
+// unmarshalCanonical parses JSON and requires it to equal the re-encoded result byte for byte. This rejects unknown
+// fields, fields in another spelling and duplicate fields.
+func unmarshalCanonical(raw []byte, target any) error {
+	if err := json.Unmarshal(raw, target); err != nil {
 		return err
 	}
-	again, err := json.Marshal(into)
+	canonical, err := json.Marshal(target)
 	if err != nil {
 		return err
 	}
-	if !bytes.Equal(raw, again) {
-		at := 0
-		for at < len(raw) && at < len(again) && raw[at] == again[at] {
-			at++
+	if !bytes.Equal(raw, canonical) {
+		offset := 0
+		for offset < len(raw) && offset < len(canonical) && raw[offset] == canonical[offset] {
+			offset++
 		}
-		return fmt.Errorf("it is not in the canonical form from byte %d on", at)
+		return fmt.Errorf("not in canonical form from byte %d on", offset)
 	}
 	return nil
 }
--- a/internal/record/items.go
+++ b/internal/record/items.go
@@ -6,162 +6,165 @@
 	"github.com/google/btree"
 )
 
-// The trees are google/btree's. Its Clone gives constant-time views by copying a node at the first change after it; tidwall/btree's
-// Copy does the same, but numbers its trees by a counter that all of the process shares, counts the items below each node,
-// which nobody here asks for, and is four times the code. Readers of a clone touch nodes only, which belong to the tree that made them
-// and which no later tree writes to or reuses. Clone itself writes to the tree that it is called on: so only the
-// machine's own trees are cloned, never a view's.
+// The trees are from google/btree. Its Clone takes constant-time snapshots by copying nodes on write. tidwall/btree's Copy
+// does the same, but numbers its trees with a process-wide counter, counts the items below each node, which is not needed
+// here, and has four times the code. Readers of a clone touch only nodes that belong to the tree that created them; no later
+// tree writes to or reuses those. Clone itself writes to the tree that it is called on, so only the machine's own trees
+// are cloned, never those of a view.
 
-// degree: nodes of 15 to 31 pointers. The first entry after a view copies a path.
-const degree = 16
+// treeDegree gives nodes of 15 to 31 pointers. The first entry applied after a snapshot copies one path of them.
+const treeDegree = 16
 
-// held is an item in the trees. It never changes once it is there.
-type held struct {
+// storedItem is an item in the trees. It is immutable once inserted.
+type storedItem struct {
 	Item
-	ends int64 // by the record's time, Unix ms; 0 for never
+	endMs int64 // expiry by the record's time, Unix ms; 0: never
 }
 
-// gone is an item that was removed: that a write whose base is older ran into it must be seen.
-type gone struct {
+// tombstone marks a removed item, so that a write with an older base is recognized as conflicting with the removal.
+type tombstone struct {
 	Kind    Kind    `json:"kind"`
 	Key     string  `json:"key"`
 	Version Version `json:"version"` // of the entry that removed it
 }
 
-func lessItem(a, b *held) bool {
-	return before(a.Kind, a.Key, b.Kind, b.Key) < 0
+func lessItem(a, b *storedItem) bool {
+	return compareKeys(a.Kind, a.Key, b.Kind, b.Key) < 0
 }
 
-func lessEnd(a, b *held) bool {
-	return cmp.Or(cmp.Compare(a.ends, b.ends), before(a.Kind, a.Key, b.Kind, b.Key)) < 0
+func lessEndTime(a, b *storedItem) bool {
+	return cmp.Or(cmp.Compare(a.endMs, b.endMs), compareKeys(a.Kind, a.Key, b.Kind, b.Key)) < 0
 }
 
-func lessGone(a, b *gone) bool {
-	return before(a.Kind, a.Key, b.Kind, b.Key) < 0
+func lessTombstone(a, b *tombstone) bool {
+	return compareKeys(a.Kind, a.Key, b.Kind, b.Key) < 0
 }
 
-func lessAge(a, b *gone) bool {
-	return cmp.Or(cmp.Compare(a.Version, b.Version), before(a.Kind, a.Key, b.Kind, b.Key)) < 0
+func lessTombstoneVersion(a, b *tombstone) bool {
+	return cmp.Or(cmp.Compare(a.Version, b.Version), compareKeys(a.Kind, a.Key, b.Kind, b.Key)) < 0
 }
 
-func before(kind Kind, key string, otherKind Kind, otherKey string) int {
+// compareKeys orders items by kind, then by key.
+func compareKeys(kind Kind, key string, otherKind Kind, otherKey string) int {
 	if kind != otherKind {
 		return cmp.Compare(kind, otherKind)
 	}
 	return cmp.Compare(key, otherKey)
 }
 
-// items are the items, the removed ones, and what finds them.
-type items struct {
-	byKey *btree.BTreeG[*held]
-	byEnd *btree.BTreeG[*held] // those that end
-	gone  *btree.BTreeG[*gone]
-	byAge *btree.BTreeG[*gone]
-	bytes int
-	sum   sum // over the items and the removed ones
+// itemSet holds the items and the tombstones, with their indexes.
+type itemSet struct {
+	byKey               *btree.BTreeG[*storedItem]
+	byEnd               *btree.BTreeG[*storedItem] // only items that expire
+	tombstone           *btree.BTreeG[*tombstone]
+	tombstonesByVersion *btree.BTreeG[*tombstone]
+	bytes               int
+	sum                 digestSum // over the items and the tombstones
 }
 
-func newItems() items {
-	return items{
-		byKey: btree.NewG(degree, lessItem), byEnd: btree.NewG(degree, lessEnd),
-		gone: btree.NewG(degree, lessGone), byAge: btree.NewG(degree, lessAge),
+func newItemSet() itemSet {
+	return itemSet{
+		byKey: btree.NewG(treeDegree, lessItem), byEnd: btree.NewG(treeDegree, lessEndTime),
+		tombstone: btree.NewG(treeDegree, lessTombstone), tombstonesByVersion: btree.NewG(treeDegree, lessTombstoneVersion),
 	}
 }
 
-// clone is a second one that goes its own way.
-func (s *items) clone() items {
-	c := s.reading()
-	c.byEnd, c.byAge = s.byEnd.Clone(), s.byAge.Clone()
+// clone returns an independent copy.
+func (s *itemSet) clone() itemSet {
+	c := s.snapshot()
+	c.byEnd, c.tombstonesByVersion = s.byEnd.Clone(), s.tombstonesByVersion.Clone()
 	return c
 }
 
-// reading is a clone that has only what a view reads.
-func (s *items) reading() items {
-	return items{byKey: s.byKey.Clone(), gone: s.gone.Clone(), bytes: s.bytes, sum: s.sum}
+// snapshot returns a copy with only the trees that a view reads.
+func (s *itemSet) snapshot() itemSet {
+	return itemSet{byKey: s.byKey.Clone(), tombstone: s.tombstone.Clone(), bytes: s.bytes, sum: s.sum}
 }
 
-func (s *items) get(kind Kind, key string) (*held, bool) {
-	return s.byKey.Get(&held{Item: Item{Kind: kind, Key: key}})
+func (s *itemSet) get(kind Kind, key string) (*storedItem, bool) {
+	return s.byKey.Get(&storedItem{Item: Item{Kind: kind, Key: key}})
 }
 
-func (s *items) removed(kind Kind, key string) (*gone, bool) {
-	return s.gone.Get(&gone{Kind: kind, Key: key})
+func (s *itemSet) findTombstone(kind Kind, key string) (*tombstone, bool) {
+	return s.tombstone.Get(&tombstone{Kind: kind, Key: key})
 }
 
-func (s *items) putAll(changes []*held) {
-	for _, h := range changes {
-		s.put(h)
+func (s *itemSet) putAll(changes []*storedItem) {
+	for _, item := range changes {
+		s.put(item)
 	}
 }
 
-// put sets an item, or removes it where it has no value. A removal leaves its mark also where there was nothing: whoever
-// wrote without having seen it must be told.
-func (s *items) put(h *held) {
-	var old *held
-	var was bool
-	if h.Value == nil {
-		old, was = s.byKey.Delete(h)
+// put sets an item, or removes it if it has no value. A removal leaves a tombstone even if the item did not exist: a write
+// that has not seen the removal must be reported as stale.
+func (s *itemSet) put(item *storedItem) {
+	var old *storedItem
+	var replaced bool
+	if item.Value == nil {
+		old, replaced = s.byKey.Delete(item)
 	} else {
-		old, was = s.hold(h)
+		old, replaced = s.insert(item)
 	}
-	if was {
-		s.bytes -= size(old)
+	if replaced {
+		s.bytes -= itemBytes(old)
 		s.sum.sub(old.digest())
-		if old.ends > 0 {
+		if old.endMs > 0 {
 			s.byEnd.Delete(old)
 		}
 	}
-	if g, ok := s.gone.Delete(&gone{Kind: h.Kind, Key: h.Key}); ok {
-		s.byAge.Delete(g)
-		s.sum.sub(g.digest())
+	if t, ok := s.tombstone.Delete(&tombstone{Kind: item.Kind, Key: item.Key}); ok {
+		s.tombstonesByVersion.Delete(t)
+		s.sum.sub(t.digest())
 	}
-	if h.Value == nil {
-		s.bury(&gone{Kind: h.Kind, Key: h.Key, Version: h.Version})
-	} else if h.ends > 0 { // after the old one has left: it may end at the same time
-		s.byEnd.ReplaceOrInsert(h)
+	if item.Value == nil {
+		s.addTombstone(&tombstone{Kind: item.Kind, Key: item.Key, Version: item.Version})
+	} else if item.endMs > 0 { // after the old one was deleted: both may expire at the same time
+		s.byEnd.ReplaceOrInsert(item)
 	}
 }
 
-// hold takes an item in, but for byEnd, and gives the one that it replaces.
-func (s *items) hold(h *held) (*held, bool) {
-	s.bytes += size(h)
-	s.sum.add(h.digest())
-	return s.byKey.ReplaceOrInsert(h)
+// insert adds an item to everything except byEnd and returns the item that it replaces.
+func (s *itemSet) insert(item *storedItem) (*storedItem, bool) {
+	s.bytes += itemBytes(item)
+	s.sum.add(item.digest())
+	return s.byKey.ReplaceOrInsert(item)
 }
 
-func (s *items) bury(g *gone) {
-	s.gone.ReplaceOrInsert(g)
-	s.byAge.ReplaceOrInsert(g)
-	s.sum.add(g.digest())
+// addTombstone adds t to both tombstone trees and to the digest sum.
+func (s *itemSet) addTombstone(t *tombstone) {
+	s.tombstone.ReplaceOrInsert(t)
+	s.tombstonesByVersion.ReplaceOrInsert(t)
+	s.sum.add(t.digest())
 }
 
-func size(h *held) int { return len(h.Kind) + len(h.Key) + len(h.Value) }
+// itemBytes is what an item counts towards Bounds.ItemBytes.
+func itemBytes(item *storedItem) int { return len(item.Kind) + len(item.Key) + len(item.Value) }
 
-// ended are the items that end by a time, in the order of their keys.
-func (s *items) ended(by int64) []*held {
-	var out []*held
-	s.byEnd.Ascend(func(h *held) bool {
-		if h.ends > by {
+// endingBy returns the items that expire at endMs or before, in the order of their expiry, then kind and key.
+func (s *itemSet) endingBy(endMs int64) []*storedItem {
+	var out []*storedItem
+	s.byEnd.Ascend(func(item *storedItem) bool {
+		if item.endMs > endMs {
 			return false
 		}
-		out = append(out, h)
+		out = append(out, item)
 		return true
 	})
 	return out
 }
 
-// forget drops the removed items whose version is not newer than the horizon: a write that would have to run into one
-// has an older base, and is refused as forgotten whatever it touches. Where more than most remain the oldest raises
-// the horizon. It gives the horizon.
-func (s *items) forget(horizon Version, most int) Version {
+// pruneTombstones drops the tombstones whose version is not newer than the horizon: a write that would conflict with one
+// has an older base and is refused as Forgotten whatever it touches. While more than maxTombstones remain, it drops the
+// oldest and raises the horizon to its version. It returns the resulting horizon.
+func (s *itemSet) pruneTombstones(horizon Version, maxTombstones int) Version {
 	for {
-		g, ok := s.byAge.Min()
-		if !ok || g.Version > horizon && s.byAge.Len() <= most {
+		t, ok := s.tombstonesByVersion.Min()
+		if !ok || t.Version > horizon && s.tombstonesByVersion.Len() <= maxTombstones {
 			return horizon
 		}
-		horizon = max(horizon, g.Version)
-		s.byAge.DeleteMin()
-		s.gone.Delete(g)
-		s.sum.sub(g.digest())
+		horizon = max(horizon, t.Version)
+		s.tombstonesByVersion.DeleteMin()
+		s.tombstone.Delete(t)
+		s.sum.sub(t.digest())
 	}
 }
--- a/internal/record/order.go
+++ b/internal/record/order.go
@@ -11,52 +11,52 @@
 	"unicode/utf8"
 )
 
-// OrderKind is the kind of the operators' orders.
+// OrderKind is the kind of operators' orders.
 const OrderKind Kind = "order"
 
-// What an order can say. There is no order to enable: that is the removal of the one in force.
+// The actions of an order. There is none to enable: removing the order in force does that.
 const (
 	Disable = "disable" // no further calls
-	Drain   = "drain"   // no further calls, as a worker that drains by itself
+	Drain   = "drain"   // no further calls, as for a worker that drains by itself
 )
 
-// What an order can be for: the first part of its key.
+// The kinds of targets of an order: the first part of its key.
 const (
 	OfWorker = "worker"
-	OfHall   = "hall"
+	OfZone   = "hall"
 )
 
-// Order is one worker, or all of a hall, taken out of use.
+// Order takes one worker, or all workers of a zone, out of use.
 type Order struct {
-	Of      string  // OfWorker or OfHall
-	Name    string  // the registry's id of the worker, or the hall's name
+	Of      string  // OfWorker or OfZone
+	Name    string  // the worker's id in the registry, or the zone's name
 	Do      string  // Disable or Drain
-	By      string  // who ordered it
-	UntilMs int64   // Unix time in ms at which it ends by the record's time; 0: when it is removed
-	Version Version // of the entry that set it
+	By      string  // who gave the order
+	UntilMs int64   // expiry by the record's time, Unix ms; 0: in force until removed
+	Version Version // version of the entry that set it
 }
 
-// Key is the key of the order's item.
+// Key returns the key of the order's item.
 func (o Order) Key() string { return o.Of + "/" + o.Name }
 
-// orderValue is an order's value in canonical form.
+// orderValue is the canonical form of an order's value.
 type orderValue struct {
 	Do      string `json:"do"`
 	By      string `json:"by"`
 	UntilMs int64  `json:"until_ms"`
 }
 
-// DecodeOrder reads an item of OrderKind. Its error names what is wrong.
+// DecodeOrder parses an item of OrderKind. Its error names the field that is invalid.
 func DecodeOrder(i Item) (Order, error) {
 	if i.Kind != OrderKind {
 		return Order{}, fmt.Errorf("kind: %.40q is not %q", i.Kind, OrderKind)
 	}
 	of, name, _ := strings.Cut(i.Key, "/")
-	if of != OfWorker && of != OfHall {
-		return Order{}, fmt.Errorf("key: %.40q begins with neither %s/ nor %s/", i.Key, OfWorker, OfHall)
+	if of != OfWorker && of != OfZone {
+		return Order{}, fmt.Errorf("key: %.40q begins with neither %s/ nor %s/", i.Key, OfWorker, OfZone)
 	}
 	if name == "" || !printable(name) || strings.Contains(name, " ") {
-		return Order{}, fmt.Errorf("key: %.40q must name 1 to %d printable characters without spaces", i.Key, nameRunes)
+		return Order{}, fmt.Errorf("key: %.40q must name 1 to %d printable characters without spaces", i.Key, maxNameRunes)
 	}
 	var v orderValue
 	dec := json.NewDecoder(bytes.NewReader(i.Value))
@@ -71,21 +71,21 @@
 	case v.Do != Disable && v.Do != Drain:
 		return Order{}, fmt.Errorf("do: %.40q is neither %s nor %s", v.Do, Disable, Drain)
 	case !printable(v.By):
-		return Order{}, fmt.Errorf("by: it must be up to %d printable characters", nameRunes)
+		return Order{}, fmt.Errorf("by: it must be up to %d printable characters", maxNameRunes)
 	case v.UntilMs < 0:
 		return Order{}, fmt.Errorf("until_ms: %d is before 1970", v.UntilMs)
 	}
 	return Order{of, name, v.Do, v.By, v.UntilMs, i.Version}, nil
 }
 
-// Orders is the domain of OrderKind: what operators have taken out of use.
-func Orders() Domain { return orders{} }
+// Orders returns the domain of OrderKind: the workers and zones that operators have taken out of use.
+func Orders() Domain { return orderDomain{} }
 
-type orders struct{}
+type orderDomain struct{}
 
-func (orders) Kind() Kind { return OrderKind }
+func (orderDomain) Kind() Kind { return OrderKind }
 
-func (orders) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
+func (orderDomain) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
 	o, err := DecodeOrder(Item{Kind: OrderKind, Key: key, Value: value})
 	if err != nil {
 		return nil, err
@@ -93,26 +93,27 @@
 	return json.Marshal(orderValue{o.Do, o.By, o.UntilMs})
 }
 
-// Check allows every order: that one takes out more than is wise is for whoever gives it.
-func (orders) Check(View, View, *Write) error { return nil }
+// Check accepts every order: how much capacity may be taken out of use is up to the operator.
+func (orderDomain) Check(View, View, *Write) error { return nil }
 
-// Ends reads the last field of the canonical form: it is asked of each item when a state is restored.
-func (orders) Ends(_ string, value json.RawMessage) int64 {
+// Ends extracts the last field of the canonical form without parsing the rest, because Restore calls it for each item.
+func (orderDomain) Ends(_ string, value json.RawMessage) int64 {
 	const field = `"until_ms":`
-	at := bytes.LastIndex(value, []byte(field))
-	if at < 0 {
+	start := bytes.LastIndex(value, []byte(field))
+	if start < 0 {
 		return 0
 	}
-	ms, _ := strconv.ParseInt(strings.TrimSuffix(string(value[at+len(field):]), "}"), 10, 64)
+	ms, _ := strconv.ParseInt(strings.TrimSuffix(string(value[start+len(field):]), "}"), 10, 64)
 	return ms
 }
 
-// nameRunes is how many characters a name has at most.
-const nameRunes = 200
+// maxNameRunes is the maximum number of characters in a name.
+const maxNameRunes = 200
 
-// unprintable are control characters, spaces but the common one, and what is not seen or turns the direction of text. The
-// unicode package is not asked: its tables grow with the Go release, and all members must agree.
-func unprintable() [][2]rune {
+// unprintableRanges returns the ranges of control characters, of spaces other than U+0020, and of characters that are
+// invisible or change the direction of text. The tables of package unicode are not used because they grow with Go
+// releases, and all members must agree.
+func unprintableRanges() [][2]rune {
 	return [][2]rune{
 		{0, 0x1f}, {0x7f, 0xa0}, {0xad, 0xad}, {0x61c, 0x61c}, {0x1680, 0x1680}, {0x180e, 0x180e}, {0x2000, 0x200f},
 		{0x2028, 0x202f}, {0x205f, 0x206f}, {0x3000, 0x3000}, {0xd800, 0xf8ff}, {0xfeff, 0xfeff}, {0xfff0, 0xffff},
@@ -120,13 +121,13 @@
 	}
 }
 
-// printable tells whether a name has nameRunes characters at most, and all of them can be seen.
+// printable reports whether a name has at most maxNameRunes characters, all of them printable.
 func printable(name string) bool {
-	if utf8.RuneCountInString(name) > nameRunes {
+	if utf8.RuneCountInString(name) > maxNameRunes {
 		return false
 	}
-	for _, c := range name { // a byte that is not UTF-8 comes as 0xfffd
-		for _, r := range unprintable() {
+	for _, c := range name { // an invalid UTF-8 byte is decoded as 0xfffd, which is in a range
+		for _, r := range unprintableRanges() {
 			if r[0] <= c && c <= r[1] {
 				return false
 			}
--- a/internal/record/prepare.go
+++ b/internal/record/prepare.go
@@ -2,48 +2,49 @@
 
 import "encoding/json"
 
-// Prepared is an entry with what can be known of it without the state.
+// Prepared is an entry with the part of its evaluation that does not depend on the state.
 type Prepared struct {
-	entry *Entry
-	forms []form // of the changes, as many as there are
+	entry  *Entry
+	values []preparedValue // one for each change
 }
 
-// form is what a domain makes of a change's value.
-type form struct {
-	made  bool
-	value json.RawMessage
-	ends  int64
-	err   error
+// preparedValue is the result of Domain.Canonical and Domain.Ends for a change.
+type preparedValue struct {
+	prepared bool
+	value    json.RawMessage
+	endMs    int64
+	err      error
 }
 
-// Prepare looks at an entry as far as that does not depend on the state: that is most of the work of applying it. Unlike all else
-// it may be called from any goroutine, also while the machine goes on. The entry must not be changed any more.
+// Prepare does the part of applying an entry that does not depend on the state, which is most of the work. Unlike the other
+// methods it may be called from any goroutine, also while the machine applies entries. The entry must not be modified
+// afterwards.
 func (m *Machine) Prepare(e *Entry) Prepared {
 	p := Prepared{entry: e}
 	if e == nil || e.Write == nil || len(e.Write.Changes) > DefaultBounds().Changes {
 		return p
 	}
-	p.forms = make([]form, len(e.Write.Changes))
+	p.values = make([]preparedValue, len(e.Write.Changes))
 	for i, c := range e.Write.Changes {
-		// What is longer the bounds refuse in most clusters before its domain is asked.
+		// Under the default bounds a longer value is refused before its domain is called.
 		if d, ok := m.domains[c.Kind]; ok && 0 < len(c.Value) && len(c.Value) <= DefaultBounds().ValueBytes {
-			p.forms[i] = formed(d, c)
+			p.values[i] = prepareValue(d, c)
 		}
 	}
 	return p
 }
 
-// formed gives a value in the form that a saved state gives back, whatever a domain thinks canonical.
-func formed(d Domain, c Change) form {
-	f := form{made: true}
-	f.err = guarded(func() (err error) {
-		if f.value, err = d.Canonical(c.Key, c.Value); err == nil {
-			f.ends = d.Ends(c.Key, f.value)
+// prepareValue returns a value in the form in which a saved state contains it, whatever the domain returns as canonical.
+func prepareValue(d Domain, c Change) preparedValue {
+	v := preparedValue{prepared: true}
+	v.err = recoverPanic(func() (err error) {
+		if v.value, err = d.Canonical(c.Key, c.Value); err == nil {
+			v.endMs = d.Ends(c.Key, v.value)
 		}
 		return err
 	})
-	if f.err == nil {
-		f.value, f.err = json.Marshal(f.value)
+	if v.err == nil {
+		v.value, v.err = json.Marshal(v.value)
 	}
-	return f
+	return v
 }
--- a/internal/record/restore.go
+++ b/internal/record/restore.go
@@ -8,45 +8,48 @@
 	"slices"
 )
 
-// ErrState says that a stream is not a whole state as Save writes it; the text names the line and what is wrong there.
-var ErrState = errors.New("record: not a whole saved state")
+// ErrState reports a stream that is not a complete state as written by Save. The error text names the line and what is
+// wrong with it.
+var ErrState = errors.New("record: invalid saved state")
 
-// Restore reads r to its end, and replaces the state by the one that Save has written there: all of it, or nothing. Everything
-// is read and checked before it counts, the hash from what was read. It takes over the bounds and kinds of that state. What
-// is cut short, changed or foreign is ErrState, or r's own error; another format is ErrFormat.
+// Restore reads r to its end and replaces the state by the one that Save has written to it, including its bounds and kinds.
+// On an error the state is unchanged: everything is read and validated first, and the hash is computed anew from what was
+// read. Truncated, modified or foreign input gives an error that wraps ErrState, an unknown format one that wraps ErrFormat;
+// errors of r are wrapped too.
 func (m *Machine) Restore(r io.Reader) error {
-	in := &lines{r: bufio.NewReaderSize(r, 64<<10), most: headBytes}
+	in := &lineReader{r: bufio.NewReaderSize(r, 64<<10), maxBytes: maxHeaderBytes}
 	next := &Machine{domains: m.domains}
-	if err := next.read(in); err != nil {
-		return fmt.Errorf("line %d: %w", in.n, err)
+	if err := next.readState(in); err != nil {
+		return fmt.Errorf("line %d: %w", in.lineNumber, err)
 	}
-	m.state, m.shown = next.state, nil // not the domains: Prepare may read them
+	m.state, m.cachedView = next.state, nil // the domains stay untouched: Prepare may be reading them
 	return nil
 }
 
-func (m *Machine) read(in *lines) error {
+// readState reads a whole saved state into the machine, which must be empty.
+func (m *Machine) readState(in *lineReader) error {
 	line, err := in.next()
 	if err != nil {
 		return err
 	}
-	if err := known(line); err != nil {
+	if err := checkFormat(line); err != nil {
 		return err
 	}
-	var h head
-	if err := exactLine(line, &h); err != nil {
+	var h header
+	if err := unmarshalLine(line, &h); err != nil {
 		return err
 	}
-	if err := m.begin(&h); err != nil {
+	if err := m.applyHeader(&h); err != nil {
 		return err
 	}
-	in.most = h.Bounds.lineBytes()
+	in.maxBytes = h.Bounds.maxLineBytes()
 	for range h.Items {
 		if err := m.readItem(in); err != nil {
 			return err
 		}
 	}
-	for range h.Gone {
-		if err := m.readGone(in); err != nil {
+	for range h.Tombstones {
+		if err := m.readTombstone(in); err != nil {
 			return err
 		}
 	}
@@ -58,193 +61,193 @@
 	if line, err = in.next(); err != nil {
 		return err
 	}
-	var end last
-	if err := exactLine(line, &end); err != nil {
+	var tail trailer
+	if err := unmarshalLine(line, &tail); err != nil {
 		return err
 	}
-	if got := m.hash(); !end.End || got != end.Hash {
-		return fmt.Errorf("%w: its hash is %.64q, and what was read has %s", ErrState, end.Hash, got)
+	if got := m.hash(); !tail.End || got != tail.Hash {
+		return fmt.Errorf("%w: hash mismatch: the trailer has %.64q, the state read has %s", ErrState, tail.Hash, got)
 	}
-	return in.end()
+	return in.expectEOF()
 }
 
-// begin makes an empty state as the head tells it.
-func (m *Machine) begin(h *head) error {
-	most := ceilings()
-	for i, f := range h.Bounds.fields() {
-		if *f < 1 || *f > *most.fields()[i] {
+// applyHeader validates the header and initializes an empty state from it.
+func (m *Machine) applyHeader(h *header) error {
+	limits := maxBounds()
+	for i, field := range h.Bounds.fields() {
+		if *field < 1 || *field > *limits.fields()[i] {
 			return fmt.Errorf("%w: bounds: %+v", ErrState, h.Bounds)
 		}
 	}
 	for i, k := range h.Kinds {
 		if _, ok := m.domains[k]; !ok {
-			return fmt.Errorf("%w: kinds: %.40q is not known here", ErrState, k)
+			return fmt.Errorf("%w: kinds: %.40q is unknown", ErrState, k)
 		}
 		if slices.Contains(h.Kinds[:i], k) {
-			return fmt.Errorf("%w: kinds: %q is there twice", ErrState, k)
+			return fmt.Errorf("%w: kinds: duplicate %q", ErrState, k)
 		}
 	}
 	b := h.Bounds
-	if h.Items < 0 || h.Gone < 0 || h.Results < 0 || h.Items > b.Items || h.Gone > b.Items || h.Results > b.Results {
-		return fmt.Errorf("%w: %d items, %d removed, %d results are not within the bounds", ErrState, h.Items, h.Gone, h.Results)
+	if h.Items < 0 || h.Tombstones < 0 || h.Results < 0 || h.Items > b.Items || h.Tombstones > b.Items || h.Results > b.Results {
+		return fmt.Errorf("%w: %d items, %d tombstones, %d results exceed the bounds", ErrState, h.Items, h.Tombstones, h.Results)
 	}
 	if h.Horizon > h.Version || h.TimeMs < 0 {
-		return fmt.Errorf("%w: horizon %d, time %d", ErrState, h.Horizon, h.TimeMs)
+		return fmt.Errorf("%w: invalid horizon %d or time %d", ErrState, h.Horizon, h.TimeMs)
 	}
-	m.state = newState(h.rules)
+	m.state = newState(h.params)
 	m.version, m.time, m.horizon = h.Version, h.TimeMs, h.Horizon
 	return nil
 }
 
-func (m *Machine) readItem(in *lines) error {
-	h := &held{}
+func (m *Machine) readItem(in *lineReader) error {
+	item := &storedItem{}
 	line, err := in.next()
 	if err == nil {
-		err = exactLine(line, &h.Item)
+		err = unmarshalLine(line, &item.Item)
 	}
 	if err != nil {
 		return err
 	}
-	d, ok := m.domain(h.Kind)
+	d, ok := m.domain(item.Kind)
 	if !ok {
-		return fmt.Errorf("%w: kind %.40q is none of the head's", ErrState, h.Kind)
+		return fmt.Errorf("%w: kind %.40q is not in the header", ErrState, item.Kind)
 	}
-	h.Kind = d.Kind() // one text for all items
-	if err := m.place(h.Key, h.Version, 0); err != nil {
+	item.Kind = d.Kind() // share one string between all items
+	if err := m.checkKeyAndVersion(item.Key, item.Version, 0); err != nil {
 		return err
 	}
-	if prev, ok := m.items.byKey.Max(); ok && !lessItem(prev, h) {
-		return fmt.Errorf("%w: the items are not in order", ErrState)
+	if prev, ok := m.items.byKey.Max(); ok && !lessItem(prev, item) {
+		return fmt.Errorf("%w: the items are out of order", ErrState)
 	}
-	if len(h.Value) > m.rules.Bounds.ValueBytes || string(h.Value) == "null" {
-		return fmt.Errorf("%w: a value of %d bytes", ErrState, len(h.Value))
+	if len(item.Value) > m.params.Bounds.ValueBytes || string(item.Value) == "null" {
+		return fmt.Errorf("%w: a value of %d bytes, too long or null", ErrState, len(item.Value))
 	}
-	if err := guarded(func() error { h.ends = d.Ends(h.Key, h.Value); return nil }); err != nil {
+	if err := recoverPanic(func() error { item.endMs = d.Ends(item.Key, item.Value); return nil }); err != nil {
 		return fmt.Errorf("%w: %w", ErrState, err)
 	}
-	m.items.hold(h)
-	if h.ends > 0 {
-		m.items.byEnd.ReplaceOrInsert(h)
+	m.items.insert(item)
+	if item.endMs > 0 {
+		m.items.byEnd.ReplaceOrInsert(item)
 	}
-	if m.items.bytes > m.rules.Bounds.ItemBytes {
-		return fmt.Errorf("%w: the items have too many bytes", ErrState)
+	if m.items.bytes > m.params.Bounds.ItemBytes {
+		return fmt.Errorf("%w: the items exceed the bound on bytes", ErrState)
 	}
 	return nil
 }
 
-func (m *Machine) readGone(in *lines) error {
-	g := &gone{}
+func (m *Machine) readTombstone(in *lineReader) error {
+	t := &tombstone{}
 	line, err := in.next()
 	if err == nil {
-		err = exactLine(line, g)
+		err = unmarshalLine(line, t)
 	}
 	if err != nil {
 		return err
 	}
-	if err := m.place(g.Key, g.Version, m.horizon); err != nil {
+	if err := m.checkKeyAndVersion(t.Key, t.Version, m.horizon); err != nil {
 		return err
 	}
-	if prev, ok := m.items.gone.Max(); ok && !lessGone(prev, g) {
-		return fmt.Errorf("%w: the removed items are not in order", ErrState)
+	if prev, ok := m.items.tombstone.Max(); ok && !lessTombstone(prev, t) {
+		return fmt.Errorf("%w: the tombstones are out of order", ErrState)
 	}
-	if _, there := m.items.get(g.Kind, g.Key); there || !slices.Contains(m.rules.Kinds, g.Kind) {
-		return fmt.Errorf("%w: %.40q %.40q cannot be a removed item", ErrState, g.Kind, g.Key)
+	if _, exists := m.items.get(t.Kind, t.Key); exists || !slices.Contains(m.params.Kinds, t.Kind) {
+		return fmt.Errorf("%w: tombstone of %.40q %.40q, which exists or is of an unlisted kind", ErrState, t.Kind, t.Key)
 	}
-	m.items.bury(g)
+	m.items.addTombstone(t)
 	return nil
 }
 
-func (m *Machine) readResult(in *lines) error {
+func (m *Machine) readResult(in *lineReader) error {
 	r := &Result{}
 	line, err := in.next()
 	if err == nil {
-		err = exactLine(line, r)
+		err = unmarshalLine(line, r)
 	}
 	if err != nil {
 		return err
 	}
 	if !validID(r.ID) || r.Again || r.Version == 0 || r.Version > m.version {
-		return fmt.Errorf("%w: a result of id %.64q, version %d", ErrState, r.ID, r.Version)
+		return fmt.Errorf("%w: invalid result with id %.64q, version %d", ErrState, r.ID, r.Version)
 	}
-	if prev, ok := m.results.byAge.Max(); ok && prev.Version >= r.Version {
-		return fmt.Errorf("%w: the results are not in order", ErrState)
+	if prev, ok := m.results.byVersion.Max(); ok && prev.Version >= r.Version {
+		return fmt.Errorf("%w: the results are out of order", ErrState)
 	}
-	if _, twice := m.results.get(r.ID); twice {
-		return fmt.Errorf("%w: a second result of id %q", ErrState, r.ID)
+	if _, exists := m.results.get(r.ID); exists {
+		return fmt.Errorf("%w: duplicate result with id %q", ErrState, r.ID)
 	}
 	for i := range r.Newer {
-		if string(r.Newer[i].Value) == "null" { // no item has that value: it was left out
+		if string(r.Newer[i].Value) == "null" { // no item has the value null: the value was omitted
 			r.Newer[i].Value = nil
 		}
 	}
-	if m.results.add(r, m.rules.Bounds) != 0 {
-		return fmt.Errorf("%w: the results have too many bytes", ErrState)
+	if m.results.add(r, m.params.Bounds) != 0 {
+		return fmt.Errorf("%w: the results exceed their bounds", ErrState)
 	}
 	return nil
 }
 
-// place checks an item's key, and that its version is after one and not after the record's.
-func (m *Machine) place(key string, v, after Version) error {
-	if err := validKey(key, m.rules.Bounds); err != nil {
+// checkKeyAndVersion validates an item's key and requires its version to be after the given one and at most the record's.
+func (m *Machine) checkKeyAndVersion(key string, version, after Version) error {
+	if err := validKey(key, m.params.Bounds); err != nil {
 		return fmt.Errorf("%w: %w", ErrState, err)
 	}
-	if v <= after || v > m.version {
-		return fmt.Errorf("%w: version %d of an item", ErrState, v)
+	if version <= after || version > m.version {
+		return fmt.Errorf("%w: invalid item version %d", ErrState, version)
 	}
 	return nil
 }
 
-func exactLine(line []byte, into any) error {
-	if err := exact(line, into); err != nil {
+func unmarshalLine(line []byte, target any) error {
+	if err := unmarshalCanonical(line, target); err != nil {
 		return fmt.Errorf("%w: %w", ErrState, err)
 	}
 	return nil
 }
 
-// headBytes bounds the first line; the head tells what bounds the others.
-const headBytes = 64 << 10
+// maxHeaderBytes limits the first line; the bounds in the header limit the others.
+const maxHeaderBytes = 64 << 10
 
-// lineBytes is how long a line of an item or a result can get: a byte of text takes six at most in JSON.
-func (b Bounds) lineBytes() int {
-	const names = 512 // field names, kind, id, numbers
-	item := names + 6*b.KeyBytes
-	return max(item+b.ValueBytes, names+6*reasonBytes+newerBytes+b.Changes*item)
+// maxLineBytes returns the maximum length of an item or result line. JSON encodes one byte of text in at most six.
+func (b Bounds) maxLineBytes() int {
+	const fieldOverhead = 512 // bytes of field names, kind, id and numbers
+	item := fieldOverhead + 6*b.KeyBytes
+	return max(item+b.ValueBytes, fieldOverhead+6*maxReasonBytes+maxNewerBytes+b.Changes*item)
 }
 
-// lines reads lines of bounded length and counts them.
-type lines struct {
-	r    *bufio.Reader
-	most int
-	n    int // of the line read last
-	line []byte
+// lineReader reads and counts lines of bounded length.
+type lineReader struct {
+	r          *bufio.Reader
+	maxBytes   int
+	lineNumber int // of the last line read, from 1 on
+	line       []byte
 }
 
-// next gives a line without its end, good until the next call.
-func (l *lines) next() ([]byte, error) {
-	l.n++
+// next returns a line without its newline. It is valid until the next call.
+func (l *lineReader) next() ([]byte, error) {
+	l.lineNumber++
 	l.line = l.line[:0]
 	for {
 		part, err := l.r.ReadSlice('\n')
-		if l.line = append(l.line, part...); len(l.line) > l.most+1 {
-			return nil, fmt.Errorf("%w: longer than %d bytes", ErrState, l.most)
+		if l.line = append(l.line, part...); len(l.line) > l.maxBytes+1 {
+			return nil, fmt.Errorf("%w: the line is longer than %d bytes", ErrState, l.maxBytes)
 		}
 		switch {
 		case err == nil:
 			return l.line[:len(l.line)-1], nil
 		case errors.Is(err, io.EOF):
-			return nil, fmt.Errorf("%w: it is cut off here", ErrState)
+			return nil, fmt.Errorf("%w: unexpected end of input", ErrState)
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
 		}
 	}
 }
 
-// end wants no more to come.
-func (l *lines) end() error {
+// expectEOF fails unless the input ends here.
+func (l *lineReader) expectEOF() error {
 	switch _, err := l.r.ReadByte(); {
 	case err == nil:
-		l.n++
-		return fmt.Errorf("%w: something follows its last line", ErrState)
+		l.lineNumber++
+		return fmt.Errorf("%w: data after the last line", ErrState)
 	case !errors.Is(err, io.EOF):
 		return err
 	}
--- a/internal/record/results.go
+++ b/internal/record/results.go
@@ -2,51 +2,51 @@
 
 import "github.com/google/btree"
 
-// remembered is a result in the table. It never changes once it is there.
-type remembered struct {
+// storedResult is a result in the table, with the length of its digest encoding. It is immutable once inserted.
+type storedResult struct {
 	*Result
 	bytes int
 }
 
-// results is the table of results by id; each entry adds one at most, so that the version is their order.
-type results struct {
-	byID  *btree.BTreeG[remembered]
-	byAge *btree.BTreeG[remembered]
-	bytes int
-	sum   sum
+// resultTable holds the results by write id. Each entry adds at most one, so the version orders them uniquely.
+type resultTable struct {
+	byID      *btree.BTreeG[storedResult]
+	byVersion *btree.BTreeG[storedResult]
+	bytes     int
+	sum       digestSum
 }
 
-func newResults() results {
-	return results{
-		byID:  btree.NewG(degree, func(a, b remembered) bool { return a.ID < b.ID }),
-		byAge: btree.NewG(degree, func(a, b remembered) bool { return a.Version < b.Version }),
+func newResultTable() resultTable {
+	return resultTable{
+		byID:      btree.NewG(treeDegree, func(a, b storedResult) bool { return a.ID < b.ID }),
+		byVersion: btree.NewG(treeDegree, func(a, b storedResult) bool { return a.Version < b.Version }),
 	}
 }
 
-// reading is a clone for a view.
-func (t *results) reading() results {
-	return results{byID: t.byID.Clone(), byAge: t.byAge.Clone(), bytes: t.bytes, sum: t.sum}
+// snapshot returns a copy for a view.
+func (t *resultTable) snapshot() resultTable {
+	return resultTable{byID: t.byID.Clone(), byVersion: t.byVersion.Clone(), bytes: t.bytes, sum: t.sum}
 }
 
-func (t *results) get(id string) (Result, bool) {
-	r, ok := t.byID.Get(remembered{Result: &Result{ID: id}})
+func (t *resultTable) get(id string) (Result, bool) {
+	r, ok := t.byID.Get(storedResult{Result: &Result{ID: id}})
 	if !ok {
 		return Result{}, false
 	}
 	return *r.Result, true
 }
 
-// add remembers a result under an id that the table does not have. It drops the oldest ones that are too many then, and
-// gives the version of the last that it dropped, 0 for none. A result asked for again keeps its place: what is
-// dropped must be older than all that stays, or the horizon would mean nothing.
-func (t *results) add(r *Result, b Bounds) (dropped Version) {
-	digest, n := digestResult(r)
-	t.byID.ReplaceOrInsert(remembered{r, n})
-	t.byAge.ReplaceOrInsert(remembered{r, n})
-	t.bytes += n
+// add stores a result whose id is not in the table. It drops the oldest results that exceed the bounds and returns the
+// version of the last one dropped, 0 if none. Looking up a result does not renew it: every dropped result must be older
+// than all that remain, or the horizon would not hold.
+func (t *resultTable) add(r *Result, b Bounds) (dropped Version) {
+	digest, size := digestResult(r)
+	t.byID.ReplaceOrInsert(storedResult{r, size})
+	t.byVersion.ReplaceOrInsert(storedResult{r, size})
+	t.bytes += size
 	t.sum.add(digest)
-	for t.byAge.Len() > b.Results || t.bytes > b.ResultBytes {
-		old, _ := t.byAge.DeleteMin()
+	for t.byVersion.Len() > b.Results || t.bytes > b.ResultBytes {
+		old, _ := t.byVersion.DeleteMin()
 		t.byID.Delete(old)
 		t.bytes -= old.bytes
 		digest, _ := digestResult(old.Result)
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// view is a state that nobody changes.
+// view is a View of a state that is never modified.
 type view struct{ state }
 
 func (v *view) Version() Version { return v.version }
@@ -11,41 +11,44 @@
 func (v *view) Len() int         { return v.items.byKey.Len() }
 
 func (v *view) Get(kind Kind, key string) (Item, bool) {
-	h, ok := v.items.get(kind, key)
+	item, ok := v.items.get(kind, key)
 	if !ok {
 		return Item{}, false
 	}
-	return h.Item, true
+	return item.Item, true
 }
 
 func (v *view) Each(kind Kind, f func(Item) bool) {
-	v.items.byKey.AscendGreaterOrEqual(&held{Item: Item{Kind: kind}}, func(h *held) bool {
-		return h.Kind == kind && f(h.Item)
+	v.items.byKey.AscendGreaterOrEqual(&storedItem{Item: Item{Kind: kind}}, func(item *storedItem) bool {
+		return item.Kind == kind && f(item.Item)
 	})
 }
 
 func (v *view) Result(id string) (Result, bool) { return v.results.get(id) }
 
-// Knows tells whether the record that a view is of has a kind: that belongs to its state, from the forming on.
+// Knows reports whether the record behind a view supports a kind. The set of kinds is part of the state and is fixed when
+// the cluster is formed.
 func Knows(v View, k Kind) bool {
-	w, ok := v.(interface{ knows(Kind) bool })
-	return ok && w.knows(k)
+	w, ok := v.(interface{ hasKind(Kind) bool })
+	return ok && w.hasKind(k)
 }
 
-func (v *view) knows(k Kind) bool { return slices.Contains(v.rules.Kinds, k) }
+func (v *view) hasKind(k Kind) bool { return slices.Contains(v.params.Kinds, k) }
 
-// outlook is the state that a domain is asked about, made when the domain first looks: of trees that were cloned the next
-// write copies what it changes, and a domain that looks at nothing shall not cost that. It holds until the machine changes.
-type outlook struct {
-	m       *Machine
-	version Version
-	changes []*held // that lead to it
-	old     []*held // that they replace
-	items   items   // with changes and view: what the machine goes on with
-	view    *view   // nil: not made yet
+// lazyView is the View that is passed to Domain.Check. It clones the trees only when the domain first reads items: after a
+// clone the next write has to copy the nodes that it changes, and a domain that reads nothing should not cost that. It is
+// valid until the machine applies a change.
+type lazyView struct {
+	m        *Machine
+	version  Version
+	changes  []*storedItem // that lead from the state of m to this one
+	replaced []*storedItem // items that the changes replace
+	items    itemSet       // set with view; if there are changes, the machine continues with it
+	view     *view         // nil: not created yet
 }
 
-func (o *outlook) look() *view {
+// materialize creates the view on first use.
+func (o *lazyView) materialize() *view {
 	if o.view == nil {
 		s := o.m.state
 		s.version = o.version
@@ -58,10 +61,10 @@
 	return o.view
 }
 
-func (o *outlook) Version() Version                       { return o.version }
-func (o *outlook) TimeMs() int64                          { return o.m.time }
-func (o *outlook) Hash() string                           { return o.look().Hash() }
-func (o *outlook) Len() int                               { return o.look().Len() }
-func (o *outlook) Get(kind Kind, key string) (Item, bool) { return o.look().Get(kind, key) }
-func (o *outlook) Each(kind Kind, f func(Item) bool)      { o.look().Each(kind, f) }
-func (o *outlook) Result(id string) (Result, bool)        { return o.m.results.get(id) }
+func (o *lazyView) Version() Version                       { return o.version }
+func (o *lazyView) TimeMs() int64                          { return o.m.time }
+func (o *lazyView) Hash() string                           { return o.materialize().Hash() }
+func (o *lazyView) Len() int                               { return o.materialize().Len() }
+func (o *lazyView) Get(kind Kind, key string) (Item, bool) { return o.materialize().Get(kind, key) }
+func (o *lazyView) Each(kind Kind, f func(Item) bool)      { o.materialize().Each(kind, f) }
+func (o *lazyView) Result(id string) (Result, bool)        { return o.m.results.get(id) }
--- a/internal/record/write.go
+++ b/internal/record/write.go
@@ -8,11 +8,12 @@
 	"unicode/utf8"
 )
 
-// newerBytes is how much of the values that stand in the way a stale result carries; beyond it none.
-const newerBytes = 1 << 10
+// maxNewerBytes is the maximum total size of the values in Result.Newer. If they exceed it, all values are omitted.
+const maxNewerBytes = 1 << 10
 
-// write gives a write its one result. Every result is remembered but those of ids that are none.
-func (m *Machine) write(w *Write, forms []form) Result {
+// applyWrite returns the result of a write, which is the retained one if the id is known. Every new result is retained,
+// except for writes with an invalid id.
+func (m *Machine) applyWrite(w *Write, values []preparedValue) Result {
 	if !validID(w.ID) {
 		return Result{ID: w.ID, Outcome: Invalid, Version: m.version, Reason: "id: it must be 1 to 64 of A-Z a-z 0-9 . _ : -"}
 	}
@@ -20,9 +21,9 @@
 		first.Again = true
 		return first
 	}
-	r := m.judge(w, forms)
-	r.ID, r.Version, r.Reason = w.ID, m.version, reason(r.Reason)
-	m.remember(r)
+	r := m.evaluate(w, values)
+	r.ID, r.Version, r.Reason = w.ID, m.version, sanitizeReason(r.Reason)
+	m.rememberResult(r)
 	return r
 }
 
@@ -32,25 +33,25 @@
 	})
 }
 
-// judge decides about a write that nothing is remembered of, and lets it take effect if all of it can.
-func (m *Machine) judge(w *Write, forms []form) Result {
+// evaluate decides about a write that has no retained result and applies it if all of its changes are valid.
+func (m *Machine) evaluate(w *Write, values []preparedValue) Result {
 	switch {
 	case w.Base >= m.version:
 		return Result{Outcome: Invalid, Reason: fmt.Sprintf("base: %d is newer than the record's version %d", w.Base, m.version-1)}
 	case w.Base < m.horizon:
 		return Result{Outcome: Forgotten, Reason: fmt.Sprintf("base: %d is older than what is remembered, since version %d", w.Base, m.horizon)}
 	}
-	changes, err := m.canonical(w, forms)
+	changes, err := m.canonicalChanges(w, values)
 	if err != nil {
 		return Result{Outcome: Invalid, Reason: err.Error()}
 	}
-	after := &outlook{m: m, version: m.version, changes: changes}
-	if newer := m.newer(after, w.Base); newer != nil {
+	after := &lazyView{m: m, version: m.version, changes: changes}
+	if newer := m.newerItems(after, w.Base); newer != nil {
 		i := newer[0]
 		return Result{Outcome: Stale, Newer: newer,
 			Reason: fmt.Sprintf("base: %d is older than version %d of %s %s", w.Base, i.Version, i.Kind, i.Key)}
 	}
-	if err := m.check(after, w); err != nil {
+	if err := m.checkState(after, w); err != nil {
 		return Result{Outcome: Invalid, Reason: err.Error()}
 	}
 	if after.view != nil {
@@ -61,98 +62,99 @@
 	return Result{Outcome: Applied}
 }
 
-// canonical gives a write's changes as they are to be kept; one without a value removes. The error names the place.
-func (m *Machine) canonical(w *Write, forms []form) ([]*held, error) {
-	if n := len(w.Changes); n == 0 || n > m.rules.Bounds.Changes {
-		return nil, fmt.Errorf("changes: %d of them; there must be 1 to %d", n, m.rules.Bounds.Changes)
+// canonicalChanges returns a write's changes as they are to be stored; one without a value is a removal. The error names
+// the change that is invalid.
+func (m *Machine) canonicalChanges(w *Write, values []preparedValue) ([]*storedItem, error) {
+	if n := len(w.Changes); n == 0 || n > m.params.Bounds.Changes {
+		return nil, fmt.Errorf("changes: %d of them; there must be 1 to %d", n, m.params.Bounds.Changes)
 	}
-	type place struct {
+	type itemKey struct {
 		kind Kind
 		key  string
 	}
-	seen := make(map[place]int, len(w.Changes))
-	out := make([]*held, 0, len(w.Changes))
+	seen := make(map[itemKey]int, len(w.Changes))
+	out := make([]*storedItem, 0, len(w.Changes))
 	for i, c := range w.Changes {
-		var f form
-		if i < len(forms) {
-			f = forms[i]
+		var value preparedValue
+		if i < len(values) {
+			value = values[i]
 		}
-		h, err := m.change(c, f)
+		item, err := m.canonicalChange(c, value)
 		if err != nil {
 			return nil, fmt.Errorf("changes[%d].%w", i, err)
 		}
-		at := place{c.Kind, c.Key}
-		if first, twice := seen[at]; twice {
+		key := itemKey{c.Kind, c.Key}
+		if first, exists := seen[key]; exists {
 			return nil, fmt.Errorf("changes[%d]: it changes the same item as changes[%d]", i, first)
 		}
-		seen[at] = i
-		out = append(out, h)
+		seen[key] = i
+		out = append(out, item)
 	}
 	return out, nil
 }
 
-// change checks one change by itself.
-func (m *Machine) change(c Change, f form) (*held, error) {
+// canonicalChange validates one change on its own and returns it in canonical form.
+func (m *Machine) canonicalChange(c Change, value preparedValue) (*storedItem, error) {
 	d, ok := m.domain(c.Kind)
 	if !ok {
 		return nil, fmt.Errorf("kind: %.40q is not known", c.Kind)
 	}
-	if err := validKey(c.Key, m.rules.Bounds); err != nil {
+	if err := validKey(c.Key, m.params.Bounds); err != nil {
 		return nil, err
 	}
-	h := &held{Item: Item{Kind: d.Kind(), Key: c.Key, Version: m.version}} // the domain's text of the kind is one for all items
+	item := &storedItem{Item: Item{Kind: d.Kind(), Key: c.Key, Version: m.version}} // the domain's string for the kind, shared by all items
 	if len(c.Value) == 0 {
-		return h, nil
+		return item, nil
 	}
-	most := m.rules.Bounds.ValueBytes
-	if len(c.Value) > most {
-		return nil, fmt.Errorf("value: longer than %d bytes", most)
+	limit := m.params.Bounds.ValueBytes
+	if len(c.Value) > limit {
+		return nil, fmt.Errorf("value: longer than %d bytes", limit)
 	}
-	if !f.made {
-		f = formed(d, c)
+	if !value.prepared {
+		value = prepareValue(d, c)
 	}
-	h.Value, h.ends = f.value, f.ends
+	item.Value, item.endMs = value.value, value.endMs
 	switch {
-	case f.err != nil:
-		return nil, fmt.Errorf("value: %w", f.err)
-	case len(h.Value) > most:
-		return nil, fmt.Errorf("value: longer than %d bytes", most)
-	case !utf8.Valid(h.Value) || string(h.Value) == "null":
+	case value.err != nil:
+		return nil, fmt.Errorf("value: %w", value.err)
+	case len(item.Value) > limit:
+		return nil, fmt.Errorf("value: longer than %d bytes", limit)
+	case !utf8.Valid(item.Value) || string(item.Value) == "null":
 		return nil, errors.New("value: it is null, or not UTF-8")
-	case 0 < h.ends && h.ends <= m.time:
-		return nil, fmt.Errorf("value: it ends at %d, and the record's time is %d", h.ends, m.time)
+	case 0 < item.endMs && item.endMs <= m.time:
+		return nil, fmt.Errorf("value: it ends at %d, and the record's time is %d", item.endMs, m.time)
 	}
-	return h, nil
+	return item, nil
 }
 
 func validKey(key string, b Bounds) error {
 	switch {
 	case key == "" || len(key) > b.KeyBytes:
 		return fmt.Errorf("key: %d bytes; it must have 1 to %d", len(key), b.KeyBytes)
-	case !plain(key):
+	case !isPlainText(key):
 		return errors.New("key: it has control characters, or is not UTF-8")
 	}
 	return nil
 }
 
-// newer are the items that a write of that base must not change: set or removed since.
-// It notes what the changes replace.
-func (m *Machine) newer(after *outlook, base Version) []Item {
+// newerItems returns the items among the changes that were set or removed after the base. It also records in after the
+// items that the changes replace.
+func (m *Machine) newerItems(after *lazyView, base Version) []Item {
 	var out []Item
 	var bytes int
 	for _, c := range after.changes {
-		h, ok := m.items.byKey.Get(c)
+		item, ok := m.items.byKey.Get(c)
 		if ok {
-			after.old = append(after.old, h)
+			after.replaced = append(after.replaced, item)
 		}
-		if ok && h.Version > base {
-			out = append(out, h.Item)
-			bytes += len(h.Value)
-		} else if g, ok := m.items.removed(c.Kind, c.Key); ok && g.Version > base {
-			out = append(out, Item{Kind: g.Kind, Key: g.Key, Version: g.Version})
+		if ok && item.Version > base {
+			out = append(out, item.Item)
+			bytes += len(item.Value)
+		} else if removed, ok := m.items.findTombstone(c.Kind, c.Key); ok && removed.Version > base {
+			out = append(out, Item{Kind: removed.Kind, Key: removed.Key, Version: removed.Version})
 		}
 	}
-	if bytes > newerBytes {
+	if bytes > maxNewerBytes {
 		for i := range out {
 			out[i].Value = nil
 		}
@@ -160,45 +162,45 @@
 	return out
 }
 
-// check looks at the state that a write leads to: the bounds, and the domains of the kinds that it touches.
-func (m *Machine) check(after *outlook, w *Write) error {
+// checkState validates the state that a write leads to, against the bounds and the domains of the kinds that it touches.
+func (m *Machine) checkState(after *lazyView, w *Write) error {
 	count, bytes := m.items.byKey.Len(), m.items.bytes
-	for _, h := range after.old {
-		count, bytes = count-1, bytes-size(h)
+	for _, item := range after.replaced {
+		count, bytes = count-1, bytes-itemBytes(item)
 	}
-	for _, h := range after.changes {
-		if h.Value != nil {
-			count, bytes = count+1, bytes+size(h)
+	for _, item := range after.changes {
+		if item.Value != nil {
+			count, bytes = count+1, bytes+itemBytes(item)
 		}
 	}
-	switch b := m.rules.Bounds; {
+	switch b := m.params.Bounds; {
 	case count > b.Items:
 		return fmt.Errorf("changes: with them there are more than %d items", b.Items)
 	case bytes > b.ItemBytes:
 		return fmt.Errorf("changes: with them the items have more than %d bytes", b.ItemBytes)
 	}
-	before := &outlook{m: m, version: m.version - 1}
-	kept := &Write{ID: w.ID, By: w.By, Base: w.Base, Changes: make([]Change, 0, len(after.changes))}
-	for _, h := range after.changes {
-		kept.Changes = append(kept.Changes, Change{Kind: h.Kind, Key: h.Key, Value: h.Value})
+	before := &lazyView{m: m, version: m.version - 1}
+	canonical := &Write{ID: w.ID, By: w.By, Base: w.Base, Changes: make([]Change, 0, len(after.changes))}
+	for _, item := range after.changes {
+		canonical.Changes = append(canonical.Changes, Change{Kind: item.Kind, Key: item.Key, Value: item.Value})
 	}
-	var asked []Kind
-	for i, h := range after.changes {
-		if slices.Contains(asked, h.Kind) {
+	var checked []Kind
+	for i, item := range after.changes {
+		if slices.Contains(checked, item.Kind) {
 			continue
 		}
-		asked = append(asked, h.Kind)
-		d, _ := m.domain(h.Kind)
-		if err := guarded(func() error { return d.Check(before, after, kept) }); err != nil {
+		checked = append(checked, item.Kind)
+		d, _ := m.domain(item.Kind)
+		if err := recoverPanic(func() error { return d.Check(before, after, canonical) }); err != nil {
 			return fmt.Errorf("changes[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// guarded turns a panic of a domain into an error, which says nothing that could differ from one member to the next: an
-// entry that is agreed on and ends the process that applies it would end all of them, at each start.
-func guarded(f func() error) (err error) {
+// recoverPanic turns a panic of a domain into an error. A committed entry whose application crashes would crash all members,
+// at each start. The error text is constant because members must not differ in it.
+func recoverPanic(f func() error) (err error) {
 	defer func() {
 		if recover() != nil {
 			err = errors.New("its domain has failed on it")
