--- a/internal/retire/conditions.go
+++ b/internal/retire/conditions.go
@@ -6,129 +6,130 @@
 	"slices"
 )
 
-// window is what was called since a stage began.
-type window struct {
-	calls   int64 // of all
-	others  int64 // at most, of callers that are not named
-	callers []Called
+// usageWindow holds the calls since a stage began.
+type usageWindow struct {
+	calls   int64 // total
+	others  int64 // upper bound for the calls of callers without a count of their own
+	callers []CallerCalls
 }
 
-// since takes a mark off the sums. A caller that the mark does not name counts with all that it ever called; names that have been folded into
-// others count there as if all of it were new. So no caller's use comes out less than it was.
-func (m *Mark) since(sums *Use) window {
-	w := window{calls: sums.Total().Calls - m.Calls, others: max(0, sums.Others.Calls-m.Others)}
+// since subtracts a mark from the sums. A caller that is not in the mark counts with all the calls that it ever made, and so
+// do callers that have been folded into Others since. Therefore no caller's use is underestimated.
+func (mark *Mark) since(sums *Use) usageWindow {
+	window := usageWindow{calls: sums.Total().Calls - mark.Calls, others: max(0, sums.Others.Calls-mark.Others)}
 	for _, c := range sums.Callers {
-		if n := c.Calls - m.of(c.Caller); n > 0 {
-			w.callers = append(w.callers, Called{c.Caller, n})
+		if calls := c.Calls - mark.callsOf(c.Caller); calls > 0 {
+			window.callers = append(window.callers, CallerCalls{c.Caller, calls})
 		}
 	}
-	return w
+	return window
 }
 
-func (m *Mark) of(caller string) int64 {
-	if i, ok := slices.BinarySearchFunc(m.Callers, caller, func(c Called, name string) int { return cmp.Compare(c.Caller, name) }); ok {
-		return m.Callers[i].Calls
+func (mark *Mark) callsOf(caller string) int64 {
+	if i, ok := slices.BinarySearchFunc(mark.Callers, caller, func(c CallerCalls, name string) int { return cmp.Compare(c.Caller, name) }); ok {
+		return mark.Callers[i].Calls
 	}
 	return 0
 }
 
-// marked are the calls counted by now.
-func marked(sums *Use) Mark {
-	m := Mark{Calls: sums.Total().Calls, Others: sums.Others.Calls}
+// newMark takes a snapshot of the calls counted so far.
+func newMark(sums *Use) Mark {
+	mark := Mark{Calls: sums.Total().Calls, Others: sums.Others.Calls}
 	for _, c := range sums.Callers {
 		if c.Calls > 0 {
-			m.Callers = append(m.Callers, Called{c.Caller, c.Calls})
+			mark.Callers = append(mark.Callers, CallerCalls{c.Caller, c.Calls})
 		}
 	}
-	slices.SortFunc(m.Callers, func(a, b Called) int {
+	slices.SortFunc(mark.Callers, func(a, b CallerCalls) int {
 		return cmp.Or(cmp.Compare(b.Calls, a.Calls), cmp.Compare(a.Caller, b.Caller))
 	})
-	m.Callers = m.Callers[:min(MaxPast, len(m.Callers))]
-	slices.SortFunc(m.Callers, func(a, b Called) int { return cmp.Compare(a.Caller, b.Caller) })
-	return m
+	mark.Callers = mark.Callers[:min(MaxFoldedCallers, len(mark.Callers))]
+	slices.SortFunc(mark.Callers, func(a, b CallerCalls) int { return cmp.Compare(a.Caller, b.Caller) })
+	return mark
 }
 
-// waits tells whether a timeline is at its end, or the time of its next step has not come.
-func (l *line) waits(now int64) bool {
-	if l.next() == len(l.t.Steps) {
+// waitsForTime reports whether a timeline has ended, or waits only for the time of its next step.
+func (active *activeTimeline) waitsForTime(now int64) bool {
+	if active.nextIndex() == len(active.t.Steps) {
 		return true
 	}
-	next := &l.t.Steps[l.next()]
-	held := l.stage != nil && l.stage.Held != nil
-	return !held && (now < next.AtMs || l.stage != nil && now < l.stage.SinceMs+next.AfterMs)
+	next := &active.t.Steps[active.nextIndex()]
+	held := active.stage != nil && active.stage.Held != nil
+	return !held && (now < next.AtMs || active.stage != nil && now < active.stage.SinceMs+next.AfterMs)
 }
 
-// unmet says why the next step cannot be taken at a time of the record; "" where it can.
-func (l *line) unmet(sums *Use, now int64) string {
+// unmetCondition returns the reason why the next step cannot be taken at the record's time now, "" if it can.
+func (active *activeTimeline) unmetCondition(sums *Use, now int64) string {
 	at := -1
-	if l.stage != nil {
-		at = l.stage.At
+	if active.stage != nil {
+		at = active.stage.At
 	}
-	next := &l.t.Steps[at+1]
+	next := &active.t.Steps[at+1]
 	switch {
 	case now < next.AtMs:
 		return fmt.Sprintf("%s is for %d, and the record's time is %d", next.Stage, next.AtMs, now)
-	case l.stage != nil && now < l.stage.SinceMs+next.AfterMs:
-		return fmt.Sprintf("%s lasts until %d at least, and the record's time is %d", l.stage.Stage, l.stage.SinceMs+next.AfterMs, now)
+	case active.stage != nil && now < active.stage.SinceMs+next.AfterMs:
+		return fmt.Sprintf("%s lasts until %d at least, and the record's time is %d", active.stage.Stage, active.stage.SinceMs+next.AfterMs, now)
 	case next.Need == nil:
 		return ""
 	}
-	return next.Need.unmet(l.stage, sums, now)
+	return next.Need.unmetCondition(active.stage, sums, now)
 }
 
-// unmet says which caller has not been told enough. What others do may be of any caller: it is added to what each is known to
-// do, and alone it is a caller that nobody has warned.
-func (n *Need) unmet(s *Stage, sums *Use, now int64) string {
+// unmetCondition returns a caller that has not been warned sufficiently, "" if there is none. The calls in Others may all be
+// from any one caller: they are added to the calls of each named caller, and on their own they count as a caller that has
+// never been warned.
+func (need *Need) unmetCondition(s *Stage, sums *Use, now int64) string {
 	if sums.SeenMs <= s.SinceMs+UseLeadMs {
 		return "no process has reported what it counted since the stage began"
 	}
-	w := s.Mark.since(sums)
-	if more(w.others, w.calls, n.Above) {
-		return fmt.Sprintf("callers that are not named have %d of %d calls, more than %d thousandths", w.others, w.calls, n.Above)
+	window := s.Mark.since(sums)
+	if exceedsShare(window.others, window.calls, need.Above) {
+		return fmt.Sprintf("callers that are not named have %d of %d calls, more than %d thousandths", window.others, window.calls, need.Above)
 	}
-	for _, c := range w.callers {
-		if !more(c.Calls+w.others, w.calls, n.Above) {
+	for _, c := range window.callers {
+		if !exceedsShare(c.Calls+window.others, window.calls, need.Above) {
 			continue
 		}
-		switch told := sums.Of(c.Caller); {
-		case told.Warned < n.Times:
-			return fmt.Sprintf("caller %s, with %d of %d calls, has been warned %d times of %d", c.Caller, c.Calls, w.calls, told.Warned, n.Times)
-		case now < told.FirstMs+n.ForMs:
-			return fmt.Sprintf("caller %s, with %d of %d calls, has been warned since %d, to be %d ms", c.Caller, c.Calls, w.calls, told.FirstMs, n.ForMs)
+		switch count := sums.Of(c.Caller); {
+		case count.Warned < need.Times:
+			return fmt.Sprintf("caller %s, with %d of %d calls, has been warned %d times of %d", c.Caller, c.Calls, window.calls, count.Warned, need.Times)
+		case now < count.FirstMs+need.ForMs:
+			return fmt.Sprintf("caller %s, with %d of %d calls, has been warned since %d, to be %d ms", c.Caller, c.Calls, window.calls, count.FirstMs, need.ForMs)
 		}
 	}
 	return ""
 }
 
-// harmed are the sums that harm is seen by.
-func (h *Harm) harmed(sums *Use) Harmed {
+// totals returns the totals that are compared with the thresholds.
+func (harm *Harm) totals(sums *Use) HarmTotals {
 	all := sums.Total()
-	out := Harmed{Shed: all.Shed, Worth: all.Worth, Next: all.Next, Failed: all.Failed}
-	if h.Lost == 0 {
+	out := HarmTotals{Shed: all.Shed, Worth: all.Worth, Next: all.Next, Failed: all.Failed}
+	if harm.Lost == 0 {
 		return out
 	}
 	for _, c := range append(slices.Clone(sums.Callers), sums.Others) {
-		if c.Shed >= h.LostShed && c.Next == 0 {
+		if c.Shed >= harm.LostShed && c.Next == 0 {
 			out.Lost++
 		}
 	}
 	return out
 }
 
-// harm says what harm is seen since a stage began or was let go on; "" for none.
-func (l *line) harm(sums *Use) string {
-	h, was := &l.t.Harm, &l.stage.Base
-	now := h.harmed(sums)
+// harmSeen describes the harm since the stage began or was last resumed, "" if it is below all thresholds.
+func (active *activeTimeline) harmSeen(sums *Use) string {
+	harm, was := &active.t.Harm, &active.stage.Base
+	now := harm.totals(sums)
 	next, failed := now.Next-was.Next, now.Failed-was.Failed
 	switch {
-	case l.stage.Stage == Announced || l.stage.Stage == Ended:
+	case active.stage.Stage == Announced || active.stage.Stage == Ended:
 		return ""
-	case h.Worth > 0 && now.Worth-was.Worth >= h.Worth:
-		return fmt.Sprintf("worth %d refused in %d calls, and %d is too much", now.Worth-was.Worth, now.Shed-was.Shed, h.Worth)
-	case h.Lost > 0 && now.Lost-was.Lost >= h.Lost:
-		return fmt.Sprintf("%d callers were refused %d times or more and have not come back", now.Lost-was.Lost, h.LostShed)
-	case h.Failed > 0 && next >= h.FailedCalls && (more(failed, next, h.Failed) || failed*1000 == next*h.Failed):
-		return fmt.Sprintf("%d of %d calls of %s failed, and %d thousandths are too many", failed, next, l.t.Successor, h.Failed)
+	case harm.Worth > 0 && now.Worth-was.Worth >= harm.Worth:
+		return fmt.Sprintf("worth %d refused in %d calls, and %d is too much", now.Worth-was.Worth, now.Shed-was.Shed, harm.Worth)
+	case harm.Lost > 0 && now.Lost-was.Lost >= harm.Lost:
+		return fmt.Sprintf("%d callers were refused %d times or more and have not come back", now.Lost-was.Lost, harm.LostShed)
+	case harm.Failed > 0 && next >= harm.FailedCalls && (exceedsShare(failed, next, harm.Failed) || failed*1000 == next*harm.Failed):
+		return fmt.Sprintf("%d of %d calls of %s failed, and %d thousandths are too many", failed, next, active.t.Successor, harm.Failed)
 	}
 	return ""
 }
--- a/internal/retire/conflicts.go
+++ b/internal/retire/conflicts.go
@@ -8,74 +8,77 @@
 	"burlpass/internal/rules"
 )
 
-// Double is the conflict of two timelines for one version of one call; those with successors and rules are rules' Retired and Circle.
-const Double rules.ConflictKind = "timelines"
+// OverlappingTimelines is the conflict between two timelines that both retire the same version for some call. Conflicts with
+// successors and rules have the kinds rules.Retired and rules.Circle.
+const OverlappingTimelines rules.ConflictKind = "timelines"
 
-// conflicts gives the first thing that a timeline cannot stand together with; in order: two timelines, circles, a successor that ends,
-// a rule.
-func (r *Reader) conflicts(after record.View, s *rules.State, l *line) error {
-	all, err := lines(after)
+// checkConflicts returns the first conflict of a timeline with the state. It checks, in this order: overlapping timelines,
+// cycles of successors, successors that are retired themselves, rules that need the version.
+func (r *Reader) checkConflicts(after record.View, s *rules.State, active *activeTimeline) error {
+	all, err := activeTimelines(after)
 	if err != nil {
 		return err
 	}
-	side := func(o *line) rules.Side {
-		raw, _ := json.Marshal(o.t) // it was read from JSON
-		return rules.Side{Kind: TimelineKind, Key: o.key, Owner: s.OwnerOf(o.at.In), Value: raw}
+	conflictSide := func(other *activeTimeline) rules.Side {
+		raw, _ := json.Marshal(other.t) // cannot fail: it was decoded from JSON
+		return rules.Side{Kind: TimelineKind, Key: other.key, Owner: s.OwnerOf(other.parsedKey.In), Value: raw}
 	}
-	report := func(kind rules.ConflictKind, o *line, region rules.Selector, why string, others ...string) error {
-		return rules.Conflict{Kind: kind, A: side(l), B: side(o), Witness: region.Witness(), Others: others, Why: why}
+	conflict := func(kind rules.ConflictKind, other *activeTimeline, region rules.Selector, why string, others ...string) error {
+		return rules.Conflict{Kind: kind, A: conflictSide(active), B: conflictSide(other), Witness: region.Witness(), Others: others, Why: why}
 	}
-	for _, o := range all {
-		if region, meet := l.at.In.Meet(o.at.In); meet && o.key != l.key && o.at.Version == l.at.Version {
-			return report(Double, o, region, "both end version "+l.at.Version)
+	for _, other := range all {
+		if region, overlap := active.parsedKey.In.Meet(other.parsedKey.In); overlap && other.key != active.key && other.parsedKey.Version == active.parsedKey.Version {
+			return conflict(OverlappingTimelines, other, region, "both end version "+active.parsedKey.Version)
 		}
 	}
-	if o, region, others, ok := circle(all, l); ok {
-		return report(rules.Circle, o, region, "their successors go round", others...)
+	if other, region, others, ok := findCycle(all, active); ok {
+		return conflict(rules.Circle, other, region, "their successors go round", others...)
 	}
-	for _, o := range all {
-		region, meet := l.at.In.Meet(o.at.In)
+	for _, other := range all {
+		region, overlap := active.parsedKey.In.Meet(other.parsedKey.In)
 		switch {
-		case !meet:
-		case l.t.Successor == o.at.Version:
-			return report(rules.Retired, o, region, fmt.Sprintf("the successor, %s, ends itself", l.t.Successor))
-		case o.t.Successor == l.at.Version:
-			return report(rules.Retired, o, region, fmt.Sprintf("%s is the successor of %s", l.at.Version, o.at.Version))
+		case !overlap:
+		case active.t.Successor == other.parsedKey.Version:
+			return conflict(rules.Retired, other, region, fmt.Sprintf("the successor, %s, ends itself", active.t.Successor))
+		case other.t.Successor == active.parsedKey.Version:
+			return conflict(rules.Retired, other, region, fmt.Sprintf("%s is the successor of %s", active.parsedKey.Version, other.parsedKey.Version))
 		}
 	}
-	if c := s.Resting(l.at.Version, rules.Timeline{Key: l.key, In: l.at.In}); len(c) > 0 {
+	if c := s.Resting(active.parsedKey.Version, rules.Timeline{Key: active.key, In: active.parsedKey.In}); len(c) > 0 {
 		return c[0]
 	}
 	return nil
 }
 
-// circle follows successors from a timeline for calls that all of them have, and gives where they come back to it.
-func circle(all []*line, from *line) (last *line, region rules.Selector, between []string, ok bool) {
-	var walk func(l *line, region rules.Selector, path []string) bool
-	walk = func(l *line, in rules.Selector, path []string) bool {
-		if l.t.Successor == from.at.Version {
-			last, region, ok = l, in, true
+// findCycle follows the successors of a timeline, over timelines that have calls in common, and returns the timeline that
+// leads back to it, the calls that are affected, and the keys of the timelines in between.
+func findCycle(all []*activeTimeline, from *activeTimeline) (last *activeTimeline, region rules.Selector, between []string, ok bool) {
+	var walk func(active *activeTimeline, region rules.Selector, path []string) bool
+	walk = func(active *activeTimeline, in rules.Selector, path []string) bool {
+		if active.t.Successor == from.parsedKey.Version {
+			last, region, ok = active, in, true
 			if len(path) > 0 {
-				between = path[:len(path)-1] // without the last
+				between = path[:len(path)-1] // without the last one, which is returned as last
 			}
 			return true
 		}
-		if len(path) > maxCircle {
+		if len(path) > maxCycle {
 			return false
 		}
-		for _, o := range all {
-			if o.at.Version != l.t.Successor || o.key == l.key {
+		for _, other := range all {
+			if other.parsedKey.Version != active.t.Successor || other.key == active.key {
 				continue
 			}
-			if both, meet := in.Meet(o.at.In); meet && walk(o, both, append(path, o.key)) {
+			if both, overlap := in.Meet(other.parsedKey.In); overlap && walk(other, both, append(path, other.key)) {
 				return true
 			}
 		}
 		return false
 	}
-	walk(from, from.at.In, nil)
+	walk(from, from.parsedKey.In, nil)
 	return last, region, between, ok
 }
 
-// maxCircle is how many timelines a circle is sought over. Any circle has two neighbours, which are refused as a successor that ends.
-const maxCircle = 8
+// maxCycle limits the length of the cycles searched for. A longer cycle is still refused: any two neighbors in it are a
+// conflict because a successor is retired itself.
+const maxCycle = 8
--- a/internal/retire/counts.go
+++ b/internal/retire/counts.go
@@ -9,41 +9,41 @@
 	"burlpass/internal/record"
 )
 
-// uses is the domain of counts.
-type uses struct{}
+// useDomain is the domain of UseKind.
+type useDomain struct{}
 
-func (uses) Kind() record.Kind                  { return UseKind }
-func (uses) Ends(string, json.RawMessage) int64 { return 0 }
+func (useDomain) Kind() record.Kind                  { return UseKind }
+func (useDomain) Ends(string, json.RawMessage) int64 { return 0 }
 
-func (uses) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
+func (useDomain) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
 	return canonical(UseKind, key, value)
 }
 
-func (uses) Check(before, after record.View, w *record.Write) error {
-	if err := byCluster(w); err != nil {
+func (useDomain) Check(before, after record.View, write *record.Write) error {
+	if err := requireCluster(write); err != nil {
 		return err
 	}
-	var folded []string // timelines
-	for _, c := range w.Changes {
+	var folded []string // timelines whose fold was checked
+	for _, c := range write.Changes {
 		if c.Kind != UseKind {
 			continue
 		}
-		key, born, err := parseUse(c.Key)
+		key, bornMs, err := parseUseKey(c.Key)
 		if err != nil {
 			return err
 		}
-		l, err := timeline(after, key)
+		active, err := findActiveTimeline(after, key)
 		switch {
 		case err != nil:
 			return err
-		case l == nil && c.Value != nil:
+		case active == nil && c.Value != nil:
 			return fmt.Errorf("%s %s: there is no such timeline in force", c.Kind, c.Key)
-		case l == nil:
-		case born > 0 && c.Value != nil:
-			err = counted(before, c, born)
+		case active == nil:
+		case bornMs > 0 && c.Value != nil:
+			err = checkReport(before, c, bornMs)
 		case !slices.Contains(folded, key):
 			folded = append(folded, key)
-			err = fold(before, w, key)
+			err = checkFold(before, write, key)
 		}
 		if err != nil {
 			return fmt.Errorf("%s %s: %w", c.Kind, c.Key, err)
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// counted checks an incarnation's own report. A new one's number is of now: so one that has been folded cannot come back and count again.
-func counted(before record.View, c record.Change, born int64) error {
+// checkReport validates an incarnation's own report. The bornMs of a new incarnation must be the current time, so that one
+// that has been folded cannot return and be counted twice.
+func checkReport(before record.View, c record.Change, bornMs int64) error {
 	var now Use
 	if err := json.Unmarshal(c.Value, &now); err != nil {
 		return err
@@ -62,12 +63,13 @@
 	if err != nil {
 		return err
 	}
-	if old == nil && !stamped(born, before.TimeMs(), UseLeadMs) {
+	if old == nil && !isValidStamp(bornMs, before.TimeMs(), UseLeadMs) {
 		return fmt.Errorf("there is none, and a new one's number must be the record's time, %d, or up to %d ms later", before.TimeMs(), UseLeadMs)
 	}
-	return now.follows(old, before.TimeMs())
+	return now.checkContinues(old, before.TimeMs())
 }
 
+// readUse returns the counts under a key, nil if there are none.
 func readUse(v record.View, key string) (*Use, error) {
 	i, ok := v.Get(UseKind, key)
 	if !ok {
@@ -77,16 +79,17 @@
 	return u, json.Unmarshal(i.Value, u)
 }
 
-// fold checks that what a write takes away of a timeline's counts is quiet, and is put into what is folded.
-func fold(before record.View, w *record.Write, timeline string) error {
+// checkFold validates the folding of a timeline's counts: the write may remove only counts of incarnations without a write
+// for QuietMs, and must add all of them to the folded counts.
+func checkFold(before record.View, write *record.Write, timeline string) error {
 	var parts []*Use
 	var value json.RawMessage
-	for _, c := range w.Changes {
-		key, born, err := parseUse(c.Key)
+	for _, c := range write.Changes {
+		key, bornMs, err := parseUseKey(c.Key)
 		if c.Kind != UseKind || err != nil || key != timeline {
 			continue
 		}
-		if born == 0 {
+		if bornMs == 0 {
 			value = c.Value
 			continue
 		}
@@ -101,7 +104,7 @@
 		}
 		parts = append(parts, u)
 	}
-	old, err := readUse(before, PastKey(timeline))
+	old, err := readUse(before, FoldedKey(timeline))
 	switch {
 	case err != nil:
 		return err
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// Report is the write of a process's counts; its base and id are left open.
+// Report returns the write of a process's counts, without base and id.
 func Report(process, key string, u Use) (*record.Write, error) {
 	raw, err := json.Marshal(u)
 	if err != nil {
--- a/internal/retire/domain.go
+++ b/internal/retire/domain.go
@@ -10,68 +10,70 @@
 	"burlpass/internal/rules"
 )
 
-// Domains are the record's domains of all Kinds. They share what they have read, which changes no answer.
+// Domains returns the domains of all Kinds. They share a Reader as a cache, which does not affect their results.
 func Domains() []record.Domain {
 	r := &Reader{}
-	return []record.Domain{timelines{r}, stages{r}, uses{}}
+	return []record.Domain{timelineDomain{r}, stageDomain{r}, useDomain{}}
 }
 
-// Env is what rules rest on: the timelines of a state.
+// Env returns the environment of the rules in a state: the versions that are being retired.
 func Env(v record.View) rules.Env {
 	return rules.Env{Retired: func(version string) (out []rules.Timeline) {
-		all, err := lines(v)
+		all, err := activeTimelines(v)
 		if err != nil {
-			return nil // no write brings it about
+			return nil // no accepted write leads to this
 		}
-		for _, l := range all {
-			if l.at.Version == version {
-				out = append(out, rules.Timeline{Key: l.key, In: l.at.In})
+		for _, active := range all {
+			if active.parsedKey.Version == version {
+				out = append(out, rules.Timeline{Key: active.key, In: active.parsedKey.In})
 			}
 		}
 		return out
 	}}
 }
 
-// each looks at the changes of a write that are of a kind, one after another; the error names the first that does not hold.
-func each(kind record.Kind, before, after record.View, w *record.Write,
-	one func(before, after record.View, w *record.Write, c record.Change) error) error {
-	for _, c := range w.Changes {
+// forEachChange calls check for each change of a kind, in the order of the write. The error names the first change that is
+// refused.
+func forEachChange(kind record.Kind, before, after record.View, write *record.Write,
+	check func(before, after record.View, write *record.Write, c record.Change) error) error {
+	for _, c := range write.Changes {
 		if c.Kind != kind {
 			continue
 		}
-		if err := one(before, after, w, c); err != nil {
+		if err := check(before, after, write, c); err != nil {
 			return fmt.Errorf("%s %s: %w", c.Kind, c.Key, err)
 		}
 	}
 	return nil
 }
 
-type timelines struct{ r *Reader }
+// timelineDomain is the domain of TimelineKind.
+type timelineDomain struct{ reader *Reader }
 
-func (timelines) Kind() record.Kind                  { return TimelineKind }
-func (timelines) Ends(string, json.RawMessage) int64 { return 0 }
+func (timelineDomain) Kind() record.Kind                  { return TimelineKind }
+func (timelineDomain) Ends(string, json.RawMessage) int64 { return 0 }
 
-func (timelines) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
+func (timelineDomain) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
 	return canonical(TimelineKind, key, value)
 }
 
-func (d timelines) Check(before, after record.View, w *record.Write) error {
-	return each(TimelineKind, before, after, w, d.one)
+func (d timelineDomain) Check(before, after record.View, write *record.Write) error {
+	return forEachChange(TimelineKind, before, after, write, d.checkChange)
 }
 
-func (d timelines) one(before, after record.View, w *record.Write, c record.Change) error {
-	k, err := ParseKey(c.Key)
+func (d timelineDomain) checkChange(before, after record.View, write *record.Write, c record.Change) error {
+	key, err := ParseKey(c.Key)
 	if err != nil {
 		return err
 	}
-	owner, err := d.r.owner(before, after, k.In)
+	owner, err := d.reader.owner(before, after, key.In)
 	if err != nil {
 		return err
 	}
-	if team, _, _ := strings.Cut(w.By, "/"); team != owner {
+	if team, _, _ := strings.Cut(write.By, "/"); team != owner {
 		return fmt.Errorf("it is for %s to change, not for %.40s", owner, team)
 	}
-	old, err := timeline(before, c.Key)
+	old, err := findActiveTimeline(before, c.Key)
 	if err != nil {
 		return err
 	}
@@ -81,117 +83,118 @@
 		}
 		return nil
 	}
-	if err := carried(before, w, c); err != nil {
+	if err := checkHistory(before, write, c); err != nil {
 		return err
 	}
-	now, err := timeline(after, c.Key)
+	now, err := findActiveTimeline(after, c.Key)
 	if err != nil || now == nil {
 		return err
 	}
-	state, err := d.r.owners.Load(after)
+	state, err := d.reader.owners.Load(after)
 	if err != nil {
 		return err
 	}
-	if _, ok := state.Owner(k.In.String()); !ok {
+	if _, ok := state.Owner(key.In.String()); !ok {
 		return fmt.Errorf("its namespace is not there")
 	}
-	if now.stage, err = stage(before, c.Key); err != nil {
+	if now.stage, err = readStage(before, c.Key); err != nil {
 		return err
 	}
-	if err := now.continues(old); err != nil {
+	if err := now.checkStepsTaken(old); err != nil {
 		return err
 	}
-	return d.r.conflicts(after, state, now)
+	return d.reader.checkConflicts(after, state, now)
 }
 
-// carried wants a value to carry on what was before, as rules' items do.
-func carried(before record.View, w *record.Write, c record.Change) error {
+// checkHistory requires a value to continue the history of the previous one, in the same form as the items of rules.
+func checkHistory(before record.View, write *record.Write, c record.Change) error {
 	_, now, err := rules.History(record.Item{Kind: c.Kind, Key: c.Key, Value: c.Value})
 	if err != nil {
 		return err
 	}
-	was, ok := before.Get(c.Kind, c.Key)
+	previous, ok := before.Get(c.Kind, c.Key)
 	if !ok {
-		was = record.Item{Kind: c.Kind, Key: c.Key}
+		previous = record.Item{Kind: c.Kind, Key: c.Key}
 	}
-	want, err := rules.Amend(was, now, w.By)
+	want, err := rules.Amend(previous, now, write.By)
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(want.Value, c.Value) {
-		return fmt.Errorf("past: it must end with what is there now, replaced by %q, and have what was before, as rules' items do", w.By)
+		return fmt.Errorf("past: it must end with what is there now, replaced by %q, and have what was before, as rules' items do", write.By)
 	}
 	return nil
 }
 
-// continues wants the steps that have been taken to stay as they were.
-func (l *line) continues(old *line) error {
-	if l.stage == nil {
+// checkStepsTaken requires the steps that have already been taken to be unchanged.
+func (active *activeTimeline) checkStepsTaken(old *activeTimeline) error {
+	if active.stage == nil {
 		return nil
 	}
 	if old == nil {
 		return fmt.Errorf("what stood under this key before is still being taken away")
 	}
-	for i := range l.stage.At + 1 {
-		if i >= len(l.t.Steps) || !l.t.Steps[i].same(old.t.Steps[i]) {
+	for i := range active.stage.At + 1 {
+		if i >= len(active.t.Steps) || !active.t.Steps[i].equal(old.t.Steps[i]) {
 			return fmt.Errorf("steps[%d]: it has been taken, and cannot be changed any more", i)
 		}
 	}
 	return nil
 }
 
-func (s Step) same(o Step) bool {
+func (s Step) equal(o Step) bool {
 	need := (s.Need == nil) == (o.Need == nil) && (s.Need == nil || *s.Need == *o.Need)
 	s.Need, o.Need = nil, nil
 	return need && s == o
 }
 
-type stages struct{ r *Reader }
+// stageDomain is the domain of StageKind.
+type stageDomain struct{ reader *Reader }
 
-func (stages) Kind() record.Kind                  { return StageKind }
-func (stages) Ends(string, json.RawMessage) int64 { return 0 }
+func (stageDomain) Kind() record.Kind                  { return StageKind }
+func (stageDomain) Ends(string, json.RawMessage) int64 { return 0 }
 
-func (stages) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
+func (stageDomain) Canonical(key string, value json.RawMessage) (json.RawMessage, error) {
 	return canonical(StageKind, key, value)
 }
 
-func (d stages) Check(before, after record.View, w *record.Write) error {
-	return each(StageKind, before, after, w, d.one)
+func (d stageDomain) Check(before, after record.View, write *record.Write) error {
+	return forEachChange(StageKind, before, after, write, d.checkChange)
 }
 
-func (d stages) one(before, after record.View, w *record.Write, c record.Change) error {
-	l, err := timeline(after, c.Key)
+func (d stageDomain) checkChange(before, after record.View, write *record.Write, c record.Change) error {
+	active, err := findActiveTimeline(after, c.Key)
 	if err != nil && c.Value != nil {
 		return err
 	}
 	if c.Value == nil {
-		if l != nil || err != nil {
+		if active != nil || err != nil {
 			return fmt.Errorf("it stays as long as its timeline")
 		}
-		return byCluster(w)
+		return requireCluster(write)
 	}
-	if l == nil {
+	if active == nil {
 		return fmt.Errorf("there is no such timeline in force")
 	}
 	var now Stage
 	if err := json.Unmarshal(c.Value, &now); err != nil {
 		return err
 	}
-	if l.stage, err = stage(before, c.Key); err != nil {
+	if active.stage, err = readStage(before, c.Key); err != nil {
 		return err
 	}
 	if len(now.Log) == 0 {
 		return fmt.Errorf("log: it must say what is done")
 	}
-	m := now.Log[len(now.Log)-1]
-	if m.By != w.By {
-		return fmt.Errorf("log: by %.40q, and the write is by %.40q", m.By, w.By)
+	move := now.Log[len(now.Log)-1]
+	if move.By != write.By {
+		return fmt.Errorf("log: by %.40q, and the write is by %.40q", move.By, write.By)
 	}
-	sums, err := d.r.sums(before, c.Key)
+	sums, err := d.reader.sumUses(before, c.Key)
 	if err != nil {
 		return err
 	}
-	want, err := d.want(before, after, w, l, &sums, m)
+	want, err := d.expectedStage(before, after, write, active, &sums, move)
 	if err != nil {
 		return err
 	}
@@ -200,35 +203,36 @@
 		return err
 	}
 	if !bytes.Equal(raw, c.Value) {
-		return fmt.Errorf("it is not what %s gives by what is counted in the record", m.Do)
+		return fmt.Errorf("it is not what %s gives by what is counted in the record", move.Do)
 	}
 	return nil
 }
 
-// want is the stage that a move leads to, if its writer may make it.
-func (d stages) want(before, after record.View, w *record.Write, l *line, sums *Use, m Move) (*Stage, error) {
-	team, _, _ := strings.Cut(w.By, "/")
+// expectedStage returns the stage that results from a move, or an error if its author may not make it.
+func (d stageDomain) expectedStage(before, after record.View, write *record.Write, active *activeTimeline, sums *Use, move Move) (*Stage, error) {
+	team, _, _ := strings.Cut(write.By, "/")
 	if team == Cluster {
-		switch m.Do {
+		switch move.Do {
 		case DoStep:
-			return l.moved(sums, before.TimeMs(), m)
+			return active.applyMove(sums, before.TimeMs(), move)
 		case DoHold:
-			return l.heldByHarm(sums, before.TimeMs(), m)
+			return active.holdForHarm(sums, before.TimeMs(), move)
 		}
 	}
-	owner, err := d.r.owner(before, after, l.at.In)
+	owner, err := d.reader.owner(before, after, active.parsedKey.In)
 	if err != nil {
 		return nil, err
 	}
-	if team != owner || m.Do == DoStep {
-		return nil, fmt.Errorf("%.20s is for %s to do, not for %.40s", m.Do, owner, team)
+	if team != owner || move.Do == DoStep {
+		return nil, fmt.Errorf("%.20s is for %s to do, not for %.40s", move.Do, owner, team)
 	}
-	return l.moved(sums, before.TimeMs(), m)
+	return active.applyMove(sums, before.TimeMs(), move)
 }
 
-func byCluster(w *record.Write) error {
-	if who, _, _ := strings.Cut(w.By, "/"); who != Cluster {
-		return fmt.Errorf("it is for %s to change, not for %.40s", Cluster, who)
+// requireCluster refuses writes by authors other than the cluster.
+func requireCluster(write *record.Write) error {
+	if writer, _, _ := strings.Cut(write.By, "/"); writer != Cluster {
+		return fmt.Errorf("it is for %s to change, not for %.40s", Cluster, writer)
 	}
 	return nil
 }
--- a/internal/retire/due.go
+++ b/internal/retire/due.go
@@ -11,112 +11,113 @@
 	"burlpass/internal/record"
 )
 
-// stageAheadMs is how far ahead of the record's time a stage is stamped: for as long its write may take.
-const stageAheadMs = 2_000
+// stageStampLeadMs is added to the record's time in a stage's timestamp: the allowance for the duration of the write.
+const stageStampLeadMs = 2_000
 
-// steward is who writes steps and folds.
-const steward = Cluster + "/steward"
+// stewardName is the author of automatic steps and folds.
+const stewardName = Cluster + "/steward"
 
-// Stepped is a write of a timeline's next stage.
+// Stepped is a proposed write of a timeline's next stage.
 type Stepped struct {
 	Timeline string
-	From, To string // stages; the same where it is held
-	Why      string // it is held; "" for a step
+	From, To string // names of the stages; equal if the timeline is held
+	Why      string // reason for holding it; "" for a step
 	Write    *record.Write
 }
 
-// Holding says why a timeline does not move.
+// Holding gives the reason why a timeline does not advance.
 type Holding struct {
 	Timeline string `json:"timeline"`
-	Stage    string `json:"stage"` // "" before the first
+	Stage    string `json:"stage"` // "" before the first stage
 	Why      string `json:"why"`
-	Waits    bool   `json:"waits,omitempty"` // for its time only, or it is at its end
+	Waits    bool   `json:"waits,omitempty"` // it waits only for its time, or has ended
 }
 
-// Dues is what could be written now.
-type Dues struct {
+// DueWrites are the writes that are possible now, and the timelines that cannot advance.
+type DueWrites struct {
 	Steps []Stepped
-	Holds []Holding       // of the others, in the order of their keys
-	Folds []*record.Write // of what ended incarnations have counted, and of what is left of timelines that are gone
+	Holds []Holding       // timelines without a step, in the order of their keys
+	Folds []*record.Write // fold the counts of ended incarnations, or remove leftover items of removed timelines
 }
 
-// Due says which steps could be written in a state, and why the other timelines hold. The writes rest on the view; their ids are
-// left open. It depends on the state alone.
-func (r *Reader) Due(v record.View) (Dues, error) {
-	var out Dues
-	all, err := lines(v)
+// Due returns the steps that can be written in a state, and the reasons why the other timelines do not advance. The writes
+// are based on the view's version and have no id. The result depends on the state alone.
+func (r *Reader) Due(v record.View) (DueWrites, error) {
+	var out DueWrites
+	all, err := activeTimelines(v)
 	if err != nil {
 		return out, err
 	}
-	counts, err := r.read(v, "")
+	counts, err := r.readUses(v, "")
 	if err != nil {
 		return out, err
 	}
-	byLine := map[string]map[string]*Use{}
+	byTimeline := map[string]map[string]*Use{}
 	for key, u := range counts {
-		of, _, _ := strings.Cut(key, "#")
-		if byLine[of] == nil {
-			byLine[of] = map[string]*Use{}
+		timelineKey, _, _ := strings.Cut(key, "#")
+		if byTimeline[timelineKey] == nil {
+			byTimeline[timelineKey] = map[string]*Use{}
 		}
-		byLine[of][key] = u
+		byTimeline[timelineKey][key] = u
 	}
-	for _, l := range all {
-		uses := byLine[l.key]
+	for _, active := range all {
+		uses := byTimeline[active.key]
 		sums := Merge(slices.Collect(maps.Values(uses)))
-		step, why, err := l.due(v, &sums)
+		step, why, err := active.dueStep(v, &sums)
 		if err != nil {
 			return out, err
 		}
 		if step != nil {
 			out.Steps = append(out.Steps, *step)
 		} else {
-			out.Holds = append(out.Holds, Holding{l.key, l.name(), why, l.waits(v.TimeMs())})
+			out.Holds = append(out.Holds, Holding{active.key, active.stageName(), why, active.waitsForTime(v.TimeMs())})
 		}
-		if w, err := folding(v, l.key, uses); err != nil {
+		if write, err := foldWrite(v, active.key, uses); err != nil {
 			return out, err
-		} else if w != nil {
-			out.Folds = append(out.Folds, w)
+		} else if write != nil {
+			out.Folds = append(out.Folds, write)
 		}
 	}
-	if w := tidying(v, all); w != nil {
-		out.Folds = append(out.Folds, w)
+	if write := cleanupWrite(v, all); write != nil {
+		out.Folds = append(out.Folds, write)
 	}
 	return out, nil
 }
 
-func (l *line) name() string {
-	if l.stage == nil {
+// stageName returns the name of the current stage, "" before the first.
+func (active *activeTimeline) stageName() string {
+	if active.stage == nil {
 		return ""
 	}
-	return l.stage.Stage
+	return active.stage.Stage
 }
 
-// due is the step that a timeline could take, nil where it holds, with the reason.
-func (l *line) due(v record.View, sums *Use) (*Stepped, string, error) {
+// dueStep returns the step that a timeline can take, or nil and the reason why it cannot advance.
+func (active *activeTimeline) dueStep(v record.View, sums *Use) (*Stepped, string, error) {
 	now := v.TimeMs()
-	m := Move{Ms: now + stageAheadMs, By: steward, Do: DoHold}
-	next, err := l.heldByHarm(sums, now, m)
+	move := Move{Ms: now + stageStampLeadMs, By: stewardName, Do: DoHold}
+	next, err := active.holdForHarm(sums, now, move)
 	if err != nil {
-		m.Do = DoStep
-		next, err = l.moved(sums, now, m)
+		move.Do = DoStep
+		next, err = active.applyMove(sums, now, move)
 	}
-	var no NoMove
+	var noMove MoveError
 	switch {
-	case errors.As(err, &no):
-		return nil, no.Why, nil
+	case errors.As(err, &noMove):
+		return nil, noMove.Why, nil
 	case err != nil:
 		return nil, "", err
 	}
-	w, err := written(v, steward, StageKind, l.key, next)
-	out := &Stepped{Timeline: l.key, From: l.name(), To: next.Stage, Write: w}
+	write, err := newWrite(v, stewardName, StageKind, active.key, next)
+	out := &Stepped{Timeline: active.key, From: active.stageName(), To: next.Stage, Write: write}
 	if next.Held != nil {
 		out.Why = next.Held.Why
 	}
 	return out, "", err
 }
 
-// written is a write of one value.
-func written(v record.View, by string, kind record.Kind, key string, value any) (*record.Write, error) {
+// newWrite returns a write of one value.
+func newWrite(v record.View, by string, kind record.Kind, key string, value any) (*record.Write, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", kind, key, err)
@@ -124,54 +125,55 @@
 	return &record.Write{By: by, Base: v.Version(), Changes: []record.Change{{Kind: kind, Key: key, Value: raw}}}, nil
 }
 
-// most is how many changes a write of these has; the record's bound is as many by default.
-const most = 64
+// maxChanges is the maximum number of changes in a write of this file. It equals the record's default bound.
+const maxChanges = 64
 
-// folding takes the quiet incarnations of a timeline into what is folded; nil where there are none.
-func folding(v record.View, timeline string, all map[string]*Use) (*record.Write, error) {
-	w := &record.Write{By: steward, Base: v.Version()}
+// foldWrite returns a write that folds the incarnations of a timeline that have not written for QuietMs, nil if there are
+// none.
+func foldWrite(v record.View, timeline string, all map[string]*Use) (*record.Write, error) {
+	write := &record.Write{By: stewardName, Base: v.Version()}
 	var parts []*Use
 	for _, key := range slices.Sorted(maps.Keys(all)) {
-		if key != PastKey(timeline) && all[key].SeenMs+QuietMs <= v.TimeMs() && len(parts) < most-1 {
+		if key != FoldedKey(timeline) && all[key].SeenMs+QuietMs <= v.TimeMs() && len(parts) < maxChanges-1 {
 			parts = append(parts, all[key])
-			w.Changes = append(w.Changes, record.Change{Kind: UseKind, Key: key})
+			write.Changes = append(write.Changes, record.Change{Kind: UseKind, Key: key})
 		}
 	}
 	if len(parts) == 0 {
 		return nil, nil
 	}
-	if old := all[PastKey(timeline)]; old != nil {
+	if old := all[FoldedKey(timeline)]; old != nil {
 		parts = append(parts, old)
 	}
 	raw, err := json.Marshal(Fold(parts))
-	w.Changes = append(w.Changes, record.Change{Kind: UseKind, Key: PastKey(timeline), Value: raw})
-	return w, err
+	write.Changes = append(write.Changes, record.Change{Kind: UseKind, Key: FoldedKey(timeline), Value: raw})
+	return write, err
 }
 
-// tidying takes away what is left of timelines that are not in force any more; nil where there is nothing.
-func tidying(v record.View, all []*line) *record.Write {
-	there := map[string]bool{}
-	for _, l := range all {
-		there[l.key] = true
-	}
-	w := &record.Write{By: steward, Base: v.Version()}
-	take := func(kind record.Kind, of func(key string) string) {
+// cleanupWrite returns a write that removes the items of timelines no longer in force, nil if there are none.
+func cleanupWrite(v record.View, all []*activeTimeline) *record.Write {
+	inForce := map[string]bool{}
+	for _, active := range all {
+		inForce[active.key] = true
+	}
+	write := &record.Write{By: stewardName, Base: v.Version()}
+	removeOrphans := func(kind record.Kind, timelineOf func(key string) string) {
 		v.Each(kind, func(i record.Item) bool {
-			if !there[of(i.Key)] {
-				w.Changes = append(w.Changes, record.Change{Kind: kind, Key: i.Key})
+			if !inForce[timelineOf(i.Key)] {
+				write.Changes = append(write.Changes, record.Change{Kind: kind, Key: i.Key})
 			}
-			return len(w.Changes) < most
+			return len(write.Changes) < maxChanges
 		})
 	}
-	take(StageKind, func(key string) string { return key })
-	if len(w.Changes) < most {
-		take(UseKind, func(key string) string {
-			timeline, _, _ := parseUse(key)
+	removeOrphans(StageKind, func(key string) string { return key })
+	if len(write.Changes) < maxChanges {
+		removeOrphans(UseKind, func(key string) string {
+			timeline, _, _ := parseUseKey(key)
 			return timeline
 		})
 	}
-	if len(w.Changes) == 0 {
+	if len(write.Changes) == 0 {
 		return nil
 	}
-	return w
+	return write
 }
--- a/internal/retire/moves.go
+++ b/internal/retire/moves.go
@@ -8,167 +8,170 @@
 	"burlpass/internal/record"
 )
 
-// NoMove says that a move cannot be made; its text has the reason.
-type NoMove struct{ Why string }
+// MoveError reports that a move cannot be made. Why is the reason.
+type MoveError struct{ Why string }
 
-// Error implements error.
-func (e NoMove) Error() string { return e.Why }
+// Error returns the reason.
+func (e MoveError) Error() string { return e.Why }
 
-// moved is the stage after a move, from the timeline, the sums and the record's time alone. m has its stamp and reason. The moves of the cluster
-// have conditions, the owner's have none but what they mean.
-func (l *line) moved(sums *Use, now int64, m Move) (*Stage, error) {
-	s := l.stage
+// applyMove returns the stage after a move. It depends only on the timeline, the sums and the record's time; the move
+// brings its timestamp and reason. Steps, which the cluster takes, require their conditions to be met. The other moves,
+// which the owner makes, only need to be meaningful in the current stage.
+func (active *activeTimeline) applyMove(sums *Use, now int64, move Move) (*Stage, error) {
+	s := active.stage
 	switch {
-	case !stamped(m.Ms, now, StageLeadMs):
-		return nil, NoMove{fmt.Sprintf("log: ms %d; the record's time is %d, and it must be up to %d ms later", m.Ms, now, StageLeadMs)}
-	case s == nil && m.Do != DoStep:
-		return nil, NoMove{"it has not begun"}
-	case s != nil && s.Held != nil && m.Do != DoGo && m.Do != DoForce && m.Do != DoBack:
-		return nil, NoMove{"it is held: " + s.Held.Why}
+	case !isValidStamp(move.Ms, now, StageLeadMs):
+		return nil, MoveError{fmt.Sprintf("log: ms %d; the record's time is %d, and it must be up to %d ms later", move.Ms, now, StageLeadMs)}
+	case s == nil && move.Do != DoStep:
+		return nil, MoveError{"it has not begun"}
+	case s != nil && s.Held != nil && move.Do != DoGo && move.Do != DoForce && move.Do != DoBack:
+		return nil, MoveError{"it is held: " + s.Held.Why}
 	}
-	switch m.Do {
+	switch move.Do {
 	case DoStep:
-		m.Why = ""
-		if why := l.halted(sums, now); why != "" {
-			return nil, NoMove{why}
+		move.Why = ""
+		if why := active.blockedBy(sums, now); why != "" {
+			return nil, MoveError{why}
 		}
-		return l.enter(l.next(), sums, m), nil
+		return active.enterStage(active.nextIndex(), sums, move), nil
 	case DoForce:
-		if l.next() == len(l.t.Steps) {
-			return nil, NoMove{"it has ended"}
+		if active.nextIndex() == len(active.t.Steps) {
+			return nil, MoveError{"it has ended"}
 		}
-		return l.enter(l.next(), sums, m), nil
+		return active.enterStage(active.nextIndex(), sums, move), nil
 	case DoBack:
-		if m.To < 0 || m.To >= s.At {
-			return nil, NoMove{fmt.Sprintf("to: %d; it is at %d", m.To, s.At)}
+		if move.To < 0 || move.To >= s.At {
+			return nil, MoveError{fmt.Sprintf("to: %d; it is at %d", move.To, s.At)}
 		}
-		out := l.enter(m.To, sums, m)
-		out.Held = &Held{Why: m.Why}
+		out := active.enterStage(move.To, sums, move)
+		out.Held = &Held{Why: move.Why}
 		return out, nil
 	case DoHold, DoGo:
 		out := *s
 		out.Held = nil
-		m.To = s.At
-		if m.Do == DoHold {
-			out.Held = &Held{Why: m.Why}
+		move.To = s.At
+		if move.Do == DoHold {
+			out.Held = &Held{Why: move.Why}
 		} else if s.Held == nil {
-			return nil, NoMove{"it is not held"}
+			return nil, MoveError{"it is not held"}
 		} else {
-			out.Base = l.t.Harm.harmed(sums)
+			out.Base = active.t.Harm.totals(sums)
 		}
-		out.Log = logged(s.Log, m)
+		out.Log = appendMove(s.Log, move)
 		return &out, nil
 	}
-	return nil, NoMove{fmt.Sprintf("do: %.40q is no move", m.Do)}
+	return nil, MoveError{fmt.Sprintf("do: %.40q is no move", move.Do)}
 }
 
-// next is the place of the next step.
-func (l *line) next() int {
-	if l.stage == nil {
+// nextIndex returns the index of the next step.
+func (active *activeTimeline) nextIndex() int {
+	if active.stage == nil {
 		return 0
 	}
-	return l.stage.At + 1
+	return active.stage.At + 1
 }
 
-// halted says why the next step may not be taken; "" where it may.
-func (l *line) halted(sums *Use, now int64) string {
-	if l.stage != nil {
-		if l.next() == len(l.t.Steps) {
+// blockedBy returns the reason why the next step cannot be taken, "" if it can.
+func (active *activeTimeline) blockedBy(sums *Use, now int64) string {
+	if active.stage != nil {
+		if active.nextIndex() == len(active.t.Steps) {
 			return "it has ended"
 		}
-		if why := l.harm(sums); why != "" {
+		if why := active.harmSeen(sums); why != "" {
 			return why
 		}
 	}
-	return l.unmet(sums, now)
+	return active.unmetCondition(sums, now)
 }
 
-// heldByHarm is the stage after harm has been seen.
-func (l *line) heldByHarm(sums *Use, now int64, m Move) (*Stage, error) {
-	if l.stage == nil || l.stage.Held != nil {
-		return nil, NoMove{"it has not begun, or is held"}
+// holdForHarm returns the stage held because of harm, or an error if there is none.
+func (active *activeTimeline) holdForHarm(sums *Use, now int64, move Move) (*Stage, error) {
+	if active.stage == nil || active.stage.Held != nil {
+		return nil, MoveError{"it has not begun, or is held"}
 	}
-	if !stamped(m.Ms, now, StageLeadMs) {
-		return nil, NoMove{fmt.Sprintf("log: ms %d; the record's time is %d, and it must be up to %d ms later", m.Ms, now, StageLeadMs)}
+	if !isValidStamp(move.Ms, now, StageLeadMs) {
+		return nil, MoveError{fmt.Sprintf("log: ms %d; the record's time is %d, and it must be up to %d ms later", move.Ms, now, StageLeadMs)}
 	}
-	m.Why = l.harm(sums)
-	if m.Why == "" {
-		return nil, NoMove{"no harm is seen"}
+	move.Why = active.harmSeen(sums)
+	if move.Why == "" {
+		return nil, MoveError{"no harm is seen"}
 	}
-	m.To = l.stage.At
-	out := *l.stage
-	out.Held = &Held{Why: m.Why, Harm: true}
-	out.Log = logged(l.stage.Log, m)
+	move.To = active.stage.At
+	out := *active.stage
+	out.Held = &Held{Why: move.Why, Harm: true}
+	out.Log = appendMove(active.stage.Log, move)
 	return &out, nil
 }
 
-// enter is the stage at a place in Steps, as of a move.
-func (l *line) enter(i int, sums *Use, m Move) *Stage {
-	step := &l.t.Steps[i]
-	m.To = i
-	out := &Stage{At: i, Stage: step.Stage, SinceMs: m.Ms, Base: l.t.Harm.harmed(sums), Mark: marked(sums)}
+// enterStage returns the stage of step i, entered by a move.
+func (active *activeTimeline) enterStage(i int, sums *Use, move Move) *Stage {
+	step := &active.t.Steps[i]
+	move.To = i
+	out := &Stage{At: i, Stage: step.Stage, SinceMs: move.Ms, Base: active.t.Harm.totals(sums), Mark: newMark(sums)}
 	var log []Move
-	last := "" // the cut in force
-	if s := l.stage; s != nil {
+	previousCut := "" // cut of the current stage
+	if s := active.stage; s != nil {
 		log = s.Log
 		if i > s.At {
-			last = s.Cut
+			previousCut = s.Cut
 		}
 	}
 	switch step.Stage {
 	case Shed:
-		out.Cut = textCut(l.cut(step.Share, sums, m.Ms))
-		if last > out.Cut { // both have 16 digits: nobody comes back while shares rise
-			out.Cut = last
+		out.Cut = formatCut(active.shedCut(step.Share, sums, move.Ms))
+		if previousCut > out.Cut { // both have 16 digits; callers stay shed while shares rise
+			out.Cut = previousCut
 		}
 	case Pause:
-		if out.Cut = last; last == "" { // turned back to it
-			out.Cut = textCut(0)
+		if out.Cut = previousCut; previousCut == "" { // returned to by DoBack
+			out.Cut = formatCut(0)
 		}
 	}
-	out.Log = logged(log, m)
+	out.Log = appendMove(log, move)
 	return out
 }
 
-// cut is the threshold of a share of what was called since the stage now in force began.
-func (l *line) cut(share int64, sums *Use, ms int64) uint64 {
-	var m Mark
-	if l.stage != nil {
-		m = l.stage.Mark
+// shedCut returns the cut for a share of the calls since the current stage began.
+func (active *activeTimeline) shedCut(share int64, sums *Use, ms int64) uint64 {
+	var mark Mark
+	if active.stage != nil {
+		mark = active.stage.Mark
 	}
-	w := m.since(sums)
-	callers := make([]Traffic, 0, len(w.callers))
-	for _, c := range w.callers {
-		callers = append(callers, Traffic{c.Caller, c.Calls, l.t.exempt(c.Caller, ms)})
+	window := mark.since(sums)
+	callers := make([]CallerTraffic, 0, len(window.callers))
+	for _, c := range window.callers {
+		callers = append(callers, CallerTraffic{c.Caller, c.Calls, active.t.isExempt(c.Caller, ms)})
 	}
-	return Cut(l.key, callers, w.others, share)
+	return ShedCut(active.key, callers, window.others, share)
 }
 
-func (t *Timeline) exempt(caller string, ms int64) bool {
+func (t *Timeline) isExempt(caller string, ms int64) bool {
 	return slices.ContainsFunc(t.Exempt, func(e Exemption) bool { return e.Caller == caller && ms < e.UntilMs })
 }
 
-func logged(log []Move, m Move) []Move {
-	out := append(slices.Clone(log), m)
+// appendMove returns a log with a move added, limited to the last maxLog moves.
+func appendMove(log []Move, move Move) []Move {
+	out := append(slices.Clone(log), move)
 	return out[max(0, len(out)-maxLog):]
 }
 
-// Propose gives the write of an owner's move: DoHold, DoGo, DoForce or DoBack, which needs to. It rests on the view; its id is left open.
+// Propose returns the write of an owner's move: DoHold, DoGo, DoForce or DoBack; only DoBack uses to. The write is based on
+// the view's version and has no id.
 func (r *Reader) Propose(v record.View, key, by, do string, to int, why string) (*record.Write, error) {
-	l, err := timeline(v, key)
+	active, err := findActiveTimeline(v, key)
 	if err != nil {
 		return nil, err
 	}
-	if l == nil {
+	if active == nil {
 		return nil, errors.New("there is no such timeline in force")
 	}
-	sums, err := r.sums(v, key)
+	sums, err := r.sumUses(v, key)
 	if err != nil {
 		return nil, err
 	}
-	s, err := l.moved(&sums, v.TimeMs(), Move{Ms: v.TimeMs() + stageAheadMs, By: by, Do: do, To: to, Why: why})
+	s, err := active.applyMove(&sums, v.TimeMs(), Move{Ms: v.TimeMs() + stageStampLeadMs, By: by, Do: do, To: to, Why: why})
 	if err != nil {
 		return nil, err
 	}
-	return written(v, by, StageKind, key, s)
+	return newWrite(v, by, StageKind, key, s)
 }
--- a/internal/retire/reader.go
+++ b/internal/retire/reader.go
@@ -13,63 +13,65 @@
 	"burlpass/internal/rules"
 )
 
-// Reader remembers what it has read, so that a state after a small change costs little. It is safe for any number of
-// goroutines; what it gives depends on the items alone. The zero value is ready.
+// Reader decodes items and caches the results, so that reading a state again after a small change is cheap. Its results
+// depend on the items alone. It is safe for concurrent use, and the zero value is ready to use.
 type Reader struct {
 	owners rules.Decoder
 	mu     sync.Mutex
-	uses   map[string]read // by key
+	cache  map[string]cachedUse // by item key
 }
 
-// read is one item of counts as it was read last.
-type read struct {
+// cachedUse is an item of UseKind as it was last decoded.
+type cachedUse struct {
 	raw []byte
 	use *Use
 }
 
-// line is a timeline in force, and where it stands.
-type line struct {
-	key   string
-	at    Key
-	t     *Timeline
-	stage *Stage // nil: it has not begun
+// activeTimeline is a timeline in force with its current stage.
+type activeTimeline struct {
+	key       string
+	parsedKey Key
+	t         *Timeline
+	stage     *Stage // nil: not started
 }
 
-// timeline gives one timeline, nil where none is in force under the key.
-func timeline(v record.View, key string) (*line, error) {
+// findActiveTimeline returns the timeline in force under a key, nil if there is none.
+func findActiveTimeline(v record.View, key string) (*activeTimeline, error) {
 	i, ok := v.Get(TimelineKind, key)
 	if !ok {
 		return nil, nil
 	}
-	return readLine(v, i)
+	return decodeActiveTimeline(v, i)
 }
 
-func readLine(v record.View, i record.Item) (*line, error) {
-	var k struct {
+// decodeActiveTimeline decodes a timeline and its stage, nil if the timeline is not in force.
+func decodeActiveTimeline(v record.View, i record.Item) (*activeTimeline, error) {
+	var entry struct {
 		Now json.RawMessage `json:"now"`
 	}
-	if err := json.Unmarshal(i.Value, &k); err != nil {
+	if err := json.Unmarshal(i.Value, &entry); err != nil {
 		return nil, fmt.Errorf("timeline %s: %w", i.Key, err)
 	}
-	if len(k.Now) == 0 || string(k.Now) == "null" {
+	if len(entry.Now) == 0 || string(entry.Now) == "null" {
 		return nil, nil
 	}
-	l := &line{key: i.Key, t: new(Timeline)}
+	active := &activeTimeline{key: i.Key, t: new(Timeline)}
 	var err error
-	if l.at, err = ParseKey(i.Key); err == nil {
-		err = json.Unmarshal(k.Now, l.t)
+	if active.parsedKey, err = ParseKey(i.Key); err == nil {
+		err = json.Unmarshal(entry.Now, active.t)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("timeline %s: %w", i.Key, err)
 	}
-	l.stage, err = stage(v, i.Key)
-	if l.stage != nil && l.stage.At >= len(l.t.Steps) {
-		return nil, fmt.Errorf("stage %s: at %d of %d steps", i.Key, l.stage.At, len(l.t.Steps))
+	active.stage, err = readStage(v, i.Key)
+	if active.stage != nil && active.stage.At >= len(active.t.Steps) {
+		return nil, fmt.Errorf("stage %s: at %d of %d steps", i.Key, active.stage.At, len(active.t.Steps))
 	}
-	return l, err
+	return active, err
 }
 
-func stage(v record.View, key string) (*Stage, error) {
+// readStage returns the stage of a timeline, nil if it has not started.
+func readStage(v record.View, key string) (*Stage, error) {
 	i, ok := v.Get(StageKind, key)
 	if !ok {
 		return nil, nil
@@ -81,70 +83,70 @@
 	return s, nil
 }
 
-// lines are all timelines in force, in the order of their keys.
-func lines(v record.View) (out []*line, err error) {
+// activeTimelines returns all timelines in force, in the order of their keys.
+func activeTimelines(v record.View) (out []*activeTimeline, err error) {
 	v.Each(TimelineKind, func(i record.Item) bool {
-		var l *line
-		if l, err = readLine(v, i); err != nil {
+		var active *activeTimeline
+		if active, err = decodeActiveTimeline(v, i); err != nil {
 			return false
 		}
-		if l != nil {
-			out = append(out, l)
+		if active != nil {
+			out = append(out, active)
 		}
 		return true
 	})
 	return out, err
 }
 
-// uses gives the counts of one timeline by their keys; of all where it is "".
-func (r *Reader) read(v record.View, of string) (map[string]*Use, error) {
+// readUses returns the counts of a timeline by item key, or those of all timelines if timelineKey is "".
+func (r *Reader) readUses(v record.View, timelineKey string) (map[string]*Use, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.uses == nil {
-		r.uses = map[string]read{}
+	if r.cache == nil {
+		r.cache = map[string]cachedUse{}
 	}
 	out := map[string]*Use{}
-	seen := 0
+	count := 0
 	var err error
 	v.Each(UseKind, func(i record.Item) bool {
-		seen++
-		if of != "" && (!strings.HasPrefix(i.Key, of) || len(i.Key) == len(of) || i.Key[len(of)] != '#') {
+		count++
+		if timelineKey != "" && (!strings.HasPrefix(i.Key, timelineKey) || len(i.Key) == len(timelineKey) || i.Key[len(timelineKey)] != '#') {
 			return true
 		}
-		had, ok := r.uses[i.Key]
-		if !ok || !bytes.Equal(had.raw, i.Value) {
-			had = read{i.Value, new(Use)}
-			if err = json.Unmarshal(i.Value, had.use); err != nil {
+		cached, ok := r.cache[i.Key]
+		if !ok || !bytes.Equal(cached.raw, i.Value) {
+			cached = cachedUse{i.Value, new(Use)}
+			if err = json.Unmarshal(i.Value, cached.use); err != nil {
 				err = fmt.Errorf("use %s: %w", i.Key, err)
 				return false
 			}
-			r.uses[i.Key] = had
+			r.cache[i.Key] = cached
 		}
-		out[i.Key] = had.use
+		out[i.Key] = cached.use
 		return true
 	})
-	if len(r.uses) > 2*seen+64 { // most of it is gone from the record
-		maps.DeleteFunc(r.uses, func(key string, _ read) bool {
-			_, there := v.Get(UseKind, key)
-			return !there
+	if len(r.cache) > 2*count+64 { // most cached items have been removed from the record
+		maps.DeleteFunc(r.cache, func(key string, _ cachedUse) bool {
+			_, exists := v.Get(UseKind, key)
+			return !exists
 		})
 	}
 	return out, err
 }
 
-// sums are a timeline's counts over all incarnations.
-func (r *Reader) sums(v record.View, key string) (Use, error) {
-	uses, err := r.read(v, key)
+// sumUses returns a timeline's counts, added up over all incarnations and the folded counts.
+func (r *Reader) sumUses(v record.View, key string) (Use, error) {
+	uses, err := r.readUses(v, key)
 	if err != nil {
 		return Use{}, err
 	}
 	return Merge(slices.Collect(maps.Values(uses))), nil
 }
 
-// Sums adds up a timeline's counts over all incarnations and what is folded.
-func (r *Reader) Sums(v record.View, key string) (Use, error) { return r.sums(v, key) }
+// Sums returns a timeline's counts, added up over all incarnations and the folded counts.
+func (r *Reader) Sums(v record.View, key string) (Use, error) { return r.sumUses(v, key) }
 
-// owner is the team that owns a timeline's namespace, before a write or, where there was no namespace, after it.
+// owner returns the team that owns a timeline's namespace before a write or, if the namespace did not exist, after it.
 func (r *Reader) owner(before, after record.View, in rules.Selector) (string, error) {
 	s, err := r.owners.Load(before)
 	if err != nil {
@@ -159,8 +161,8 @@
 	return s.OwnerOf(in), nil
 }
 
-// InForce tells whether there is such a timeline in a state.
+// InForce reports whether a timeline is in force in a state.
 func InForce(v record.View, key string) bool {
-	l, err := timeline(v, key)
-	return err == nil && l != nil
+	active, err := findActiveTimeline(v, key)
+	return err == nil && active != nil
 }
--- a/internal/retire/steps_test.go
+++ b/internal/retire/steps_test.go
@@ -10,22 +10,23 @@
 	"burlpass/internal/record"
 )
 
-// proc is a process with room for few names, and the truth about its callers.
-type proc struct {
-	name  string
-	born  int64
-	named []string
-	truth map[string]*fact
-	sent  Use // as it was reported last
+// fakeProcess is a process that counts only its first two callers by name, together with the actual numbers for all of them.
+type fakeProcess struct {
+	name   string
+	bornMs int64
+	named  []string
+	actual map[string]*callerTotals
+	sent   Use // the last report
 }
 
-// fact is what truly happened to a caller at a process, in the record's time.
-type fact struct{ calls, warned, shed, worth, next, first int64 }
+// callerTotals is what actually happened to a caller at a process, with times by the record's time.
+type callerTotals struct{ calls, warned, shed, worth, next, first int64 }
 
-// use is what the process counts: two names, the rest is others. A first warning gets its stamp when it is reported.
-func (p *proc) use(stamp int64) Use {
+// use returns the counts of the process: two callers by name, the rest in Others. A first warning gets the timestamp of its
+// first report.
+func (p *fakeProcess) use(stamp int64) Use {
 	u := Use{SeenMs: stamp}
-	for caller, f := range p.truth {
+	for caller, f := range p.actual {
 		c := Count{Caller: caller, Calls: f.calls, Warned: f.warned, Shed: f.shed, Worth: f.worth, Next: f.next}
 		named := slices.Contains(p.named, caller)
 		if !named {
@@ -37,10 +38,10 @@
 		if named {
 			u.Callers = append(u.Callers, c)
 		} else {
-			u.Others = u.Others.plus(c)
+			u.Others = u.Others.add(c)
 		}
 	}
-	slices.SortFunc(u.Callers, byCaller)
+	slices.SortFunc(u.Callers, compareCallers)
 	keep := func(c *Count, was Count) {
 		if was.Warned > 0 {
 			c.FirstMs = was.FirstMs
@@ -53,18 +54,18 @@
 	return u
 }
 
-// reference holds steps against what was truly reported. It knows nothing of marks, sums or stamps.
-type reference struct {
-	now      map[string]map[string]fact // reported, by process and caller
-	then     map[string]int64           // calls by caller when the stage began
-	stageMs  int64                      // when it began
-	at       int
-	worth    int64 // refused when it began
-	reported bool  // since it began
+// referenceModel checks steps against what was actually reported, without marks, sums or timestamps.
+type referenceModel struct {
+	reported     map[string]map[string]callerTotals // last reports, by process and caller
+	callsAtStart map[string]int64                   // calls by caller when the stage began
+	stageStartMs int64                              // start of the stage
+	at           int
+	worth        int64 // worth refused when the stage began
+	hasReport    bool  // whether a process reported since the stage began
 }
 
-func (r *reference) sum(caller string) (f fact) {
-	for _, callers := range r.now {
+func (r *referenceModel) sum(caller string) (f callerTotals) {
+	for _, callers := range r.reported {
 		c := callers[caller]
 		f.calls, f.warned, f.worth = f.calls+c.calls, f.warned+c.warned, f.worth+c.worth
 		if c.warned > 0 && (f.first == 0 || c.first < f.first) {
@@ -76,16 +77,16 @@
 
 var callers = []string{"app", "branch", "desk", "web"}
 
-// may says what stands against a step at a time; "" for nothing.
-func (r *reference) may(t *Timeline, now int64) string {
+// blockedBy returns the reason why the next step may not be taken at a time, "" if it may.
+func (r *referenceModel) blockedBy(t *Timeline, now int64) string {
 	s := t.Steps[r.at+1]
-	if now < s.AtMs || r.at >= 0 && now < r.stageMs+s.AfterMs {
+	if now < s.AtMs || r.at >= 0 && now < r.stageStartMs+s.AfterMs {
 		return "time"
 	}
 	var worth, all int64
 	for _, c := range callers {
 		worth += r.sum(c).worth
-		all += r.sum(c).calls - r.then[c]
+		all += r.sum(c).calls - r.callsAtStart[c]
 	}
 	if r.at > 0 && worth-r.worth >= t.Harm.Worth {
 		return "harm"
@@ -93,98 +94,98 @@
 	if s.Need == nil {
 		return ""
 	}
-	if !r.reported {
+	if !r.hasReport {
 		return "nobody has reported"
 	}
 	for _, c := range callers {
 		f := r.sum(c)
-		if (f.calls-r.then[c])*1000 > s.Need.Above*all && (f.warned < s.Need.Times || now < f.first+s.Need.ForMs) {
+		if (f.calls-r.callsAtStart[c])*1000 > s.Need.Above*all && (f.warned < s.Need.Times || now < f.first+s.Need.ForMs) {
 			return "caller " + c
 		}
 	}
 	return ""
 }
 
-func (r *reference) entered(at int, now int64) {
-	r.at, r.stageMs, r.reported, r.worth, r.then = at, now, false, 0, map[string]int64{}
+func (r *referenceModel) setStage(at int, now int64) {
+	r.at, r.stageStartMs, r.hasReport, r.worth, r.callsAtStart = at, now, false, 0, map[string]int64{}
 	for _, c := range callers {
-		r.then[c] = r.sum(c).calls
+		r.callsAtStart[c] = r.sum(c).calls
 		r.worth += r.sum(c).worth
 	}
 }
 
-// No stage moves without its conditions, whoever proposes it; what is due is taken; reports that are lost, late, repeated or older change
-// nothing; folding neither.
-func TestNoStepWithoutItsConditions(t *testing.T) {
+// No step is accepted unless its conditions are met, whoever proposes it. Steps that are due are accepted. Reports that are
+// lost, late, repeated or older do not change the sums, and neither does folding.
+func TestNoStepWithoutConditions(t *testing.T) {
 	steps := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		tl := line1("v2")
-		tl.Harm.Worth = 60
-		for i := range tl.Steps {
-			if tl.Steps[i].Need != nil {
-				tl.Steps[i].Need = &Need{Above: 450, Times: 2, ForMs: 180_000}
+		env := newTestEnv(t)
+		timeline := sampleTimeline("v2")
+		timeline.Harm.Worth = 60
+		for i := range timeline.Steps {
+			if timeline.Steps[i].Need != nil {
+				timeline.Steps[i].Need = &Need{Above: 450, Times: 2, ForMs: 180_000}
 			}
 		}
-		w.ok("book", TimelineKind, v1, tl)
-		ref := &reference{now: map[string]map[string]fact{}, at: -1, then: map[string]int64{}}
-		now, procs := int64(1), []*proc{}
+		env.mustAmend("book", TimelineKind, v1Key, timeline)
+		ref := &referenceModel{reported: map[string]map[string]callerTotals{}, at: -1, callsAtStart: map[string]int64{}}
+		now, processes := int64(1), []*fakeProcess{}
 		start := func() {
-			procs = append(procs, &proc{name: string(rune('a' + len(procs))), truth: map[string]*fact{}})
+			processes = append(processes, &fakeProcess{name: string(rune('a' + len(processes))), actual: map[string]*callerTotals{}})
 		}
 		start()
 		start()
 		for range rapid.IntRange(40, 90).Draw(t, "actions") {
-			p := procs[rapid.IntRange(max(0, len(procs)-3), len(procs)-1).Draw(t, "process")]
+			p := processes[rapid.IntRange(max(0, len(processes)-3), len(processes)-1).Draw(t, "process")]
 			switch rapid.SampledFrom([]string{"calls", "calls", "report", "report", "older", "step", "step", "step", "forge", "time", "time", "time", "fold", "crash"}).Draw(t, "do") {
 			case "calls":
 				for range rapid.IntRange(1, 3).Draw(t, "callers") {
-					p.call(t, w, now)
+					p.call(t, env, now)
 				}
 			case "report":
-				w.deliver(p, ref, now+rapid.SampledFrom([]int64{0, 500, UseLeadMs}).Draw(t, "stamp"))
+				env.deliverReport(p, ref, now+rapid.SampledFrom([]int64{0, 500, UseLeadMs}).Draw(t, "stamp"))
 			case "older":
-				if p.born > 0 && len(p.sent.Callers) > 0 {
+				if p.bornMs > 0 && len(p.sent.Callers) > 0 {
 					old := p.sent
 					old.SeenMs = now
 					old.Callers = slices.Clone(old.Callers)
 					less := rapid.Int64Range(0, 1).Draw(t, "less")
 					old.Callers[0].Calls -= less
 					old.Callers[0].Warned = min(old.Callers[0].Warned, max(0, old.Callers[0].Calls-old.Callers[0].Shed))
-					if w.apply(w.report(v1, p.name, p.born, old)).Outcome == record.Applied { // the same again
-						if ref.reported = true; less > 0 {
+					if env.apply(env.newReport(v1Key, p.name, p.bornMs, old)).Outcome == record.Applied { // an identical repeat is accepted
+						if ref.hasReport = true; less > 0 {
 							t.Fatal("an older report was taken")
 						}
 					}
 				}
 			case "step":
-				for _, s := range w.due().Steps {
+				for _, s := range env.due().Steps {
 					if s.Why == "" {
-						if why := ref.may(&tl, now); why != "" {
-							t.Fatalf("step to %s is due, against %s", s.To, why)
+						if why := ref.blockedBy(&timeline, now); why != "" {
+							t.Fatalf("a step to %s is due, but blocked by %s", s.To, why)
 						}
-						ref.entered(ref.at+1, now)
+						ref.setStage(ref.at+1, now)
 						steps[s.To]++
 					}
-					w.takes(s.Write)
+					env.mustApply(s.Write)
 				}
 			case "forge":
-				w.forge(t, ref, &tl, now)
+				env.proposeForgedStep(t, ref, &timeline, now)
 			case "time":
 				now += rapid.SampledFrom([]int64{1_000, 61_000, 900_000, 1_800_000}).Draw(t, "ms")
-				w.clock(now)
+				env.setTime(now)
 			case "fold":
-				for _, f := range w.due().Folds {
-					before, _ := w.r.Sums(w.m.View(), v1)
-					w.takes(f)
-					after, _ := w.r.Sums(w.m.View(), v1)
+				for _, f := range env.due().Folds {
+					before, _ := env.reader.Sums(env.machine.View(), v1Key)
+					env.mustApply(f)
+					after, _ := env.reader.Sums(env.machine.View(), v1Key)
 					if a, b := before.Total(), after.Total(); a != b {
-						t.Fatalf("folded %+v to %+v", a, b)
+						t.Fatalf("folding changed the total from %+v to %+v", a, b)
 					}
-					for _, q := range procs { // taken away: whoever still runs begins anew
-						if _, ok := w.m.View().Get(UseKind, UseKey(v1, q.name, q.born)); q.born > 0 && !ok {
-							w.refuses("a new one's number", w.report(v1, q.name, q.born, q.use(now)))
-							*q = proc{name: q.name + "x", truth: map[string]*fact{}}
+					for _, q := range processes { // a process whose counts were folded while it runs starts a new incarnation
+						if _, ok := env.machine.View().Get(UseKind, UseKey(v1Key, q.name, q.bornMs)); q.bornMs > 0 && !ok {
+							env.mustRefuse("a new one's number", env.newReport(v1Key, q.name, q.bornMs, q.use(now)))
+							*q = fakeProcess{name: q.name + "x", actual: map[string]*callerTotals{}}
 						}
 					}
 				}
@@ -192,34 +193,34 @@
 				start()
 			}
 		}
-		sums, err := w.r.Sums(w.m.View(), v1)
+		sums, err := env.reader.Sums(env.machine.View(), v1Key)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range callers {
 			if f, got := ref.sum(c), sums.Of(c); got.Calls > f.calls || got.Warned > f.warned || got.Warned > 0 && got.FirstMs < f.first {
-				t.Fatalf("%s: %+v is more than happened, %+v", c, got, f)
+				t.Fatalf("%s: the sums %+v exceed the actual %+v", c, got, f)
 			}
 		}
 	})
 	if steps[Shed] == 0 {
-		t.Fatalf("too few steps to say anything: %v", steps)
+		t.Fatalf("too few steps to be conclusive: %v", steps)
 	}
 }
 
-func (p *proc) call(t *rapid.T, w *world, now int64) {
+func (p *fakeProcess) call(t *rapid.T, env *testEnv, now int64) {
 	caller := rapid.SampledFrom(callers).Draw(t, "caller")
-	f := p.truth[caller]
+	f := p.actual[caller]
 	if f == nil {
-		f = &fact{}
-		p.truth[caller] = f
+		f = &callerTotals{}
+		p.actual[caller] = f
 		if len(p.named) < 2 {
 			p.named = append(p.named, caller)
 		}
 	}
 	n := rapid.Int64Range(1, 9).Draw(t, "calls")
 	f.calls += n
-	s := w.stage(v1)
+	s := env.stage(v1Key)
 	if s == nil || s.At == 0 || rapid.IntRange(0, 3).Draw(t, "cut short") == 0 {
 		return
 	}
@@ -232,36 +233,37 @@
 	}
 }
 
-// deliver has a process report, and tells the reference if the record takes it.
-func (w *world) deliver(p *proc, ref *reference, stamp int64) {
-	if p.born == 0 {
-		p.born = stamp
+// deliverReport applies a report of a process, twice, and updates the reference model.
+func (env *testEnv) deliverReport(p *fakeProcess, ref *referenceModel, stamp int64) {
+	if p.bornMs == 0 {
+		p.bornMs = stamp
 	}
 	u := p.use(stamp)
-	wr := w.report(v1, p.name, p.born, u)
-	first := w.apply(wr)
-	if again := w.m.Apply(&record.Entry{Write: wr}); again.Outcome != first.Outcome || !again.Again {
-		w.t.Fatalf("again: %+v", again)
+	write := env.newReport(v1Key, p.name, p.bornMs, u)
+	first := env.apply(write)
+	if again := env.machine.Apply(&record.Entry{Write: write}); again.Outcome != first.Outcome || !again.Again {
+		env.t.Fatalf("again: %+v", again)
 	}
 	if first.Outcome != record.Applied {
-		w.t.Fatal(first.Reason)
+		env.t.Fatal(first.Reason)
 	}
 	p.sent = u
-	ref.now[p.name+wr.Changes[0].Key] = map[string]fact{}
-	for c, f := range p.truth {
-		ref.now[p.name+wr.Changes[0].Key][c] = *f
+	ref.reported[p.name+write.Changes[0].Key] = map[string]callerTotals{}
+	for c, f := range p.actual {
+		ref.reported[p.name+write.Changes[0].Key][c] = *f
 	}
-	ref.reported = true
+	ref.hasReport = true
 }
 
-// forge proposes a step as if its conditions held, or by a clock, or by one process's counts.
-func (w *world) forge(t *rapid.T, ref *reference, tl *Timeline, now int64) {
-	v := w.m.View()
-	l, err := timeline(v, v1)
-	if err != nil || l.next() == len(tl.Steps) {
+// proposeForgedStep proposes a step whose conditions may not be met: too early, past a stage, with a timestamp from another
+// clock, or based on the counts of one process.
+func (env *testEnv) proposeForgedStep(t *rapid.T, ref *referenceModel, timeline *Timeline, now int64) {
+	v := env.machine.View()
+	active, err := findActiveTimeline(v, v1Key)
+	if err != nil || active.nextIndex() == len(timeline.Steps) {
 		return
 	}
-	uses, _ := w.r.read(v, v1)
+	uses, _ := env.reader.readUses(v, v1Key)
 	sums := Merge(nil)
 	one := rapid.Bool().Draw(t, "one process's counts")
 	for _, u := range uses {
@@ -269,18 +271,18 @@
 			break
 		}
 	}
-	to := l.next()
-	if rapid.IntRange(0, 3).Draw(t, "skip") == 0 && to+1 < len(tl.Steps) {
+	to := active.nextIndex()
+	if rapid.IntRange(0, 3).Draw(t, "skip") == 0 && to+1 < len(timeline.Steps) {
 		to++
 	}
 	ms := now + rapid.SampledFrom([]int64{0, 1000, 7 * 86_400_000}).Draw(t, "clock")
-	raw, _ := json.Marshal(l.enter(to, &sums, Move{Ms: ms, By: "cluster/x", Do: DoStep}))
-	r := w.apply(&record.Write{By: "cluster/x", Base: v.Version(), Changes: []record.Change{{Kind: StageKind, Key: v1, Value: raw}}})
+	raw, _ := json.Marshal(active.enterStage(to, &sums, Move{Ms: ms, By: "cluster/x", Do: DoStep}))
+	r := env.apply(&record.Write{By: "cluster/x", Base: v.Version(), Changes: []record.Change{{Kind: StageKind, Key: v1Key, Value: raw}}})
 	if r.Outcome != record.Applied {
 		return
 	}
-	if why := ref.may(tl, now); why != "" || to != ref.at+1 || ms > now+StageLeadMs {
-		t.Fatalf("a forged step to %d at %d was taken, against %q", to, ms, why)
+	if why := ref.blockedBy(timeline, now); why != "" || to != ref.at+1 || ms > now+StageLeadMs {
+		t.Fatalf("a forged step to %d at %d was accepted, but blocked by %q", to, ms, why)
 	}
-	ref.entered(to, now)
+	ref.setStage(to, now)
 }
--- a/internal/retire/table.go
+++ b/internal/retire/table.go
@@ -12,66 +12,68 @@
 	"burlpass/internal/rules"
 )
 
-// Notice is what holds for one call.
+// Notice is the effect of the timelines on one call.
 type Notice struct {
-	Timeline   int    // its number in the table, for Table.Key; -1: none, and nothing holds
-	Stage      string // "" before the first
-	Lines      string // Deprecation, Sunset and Link, each ended by CR LF; "" before the version is warned of
-	Shed       bool   // refuse it for now, unless it is under way
-	Ended      bool   // refuse it for good
-	RetryAfter int    // seconds, of a call that is shed
+	Timeline   int    // number in the table, for Table.Key; -1: none, the call is not affected
+	Stage      string // "" before the first stage
+	Lines      string // headers Deprecation, Sunset and Link, each with CR LF; "" before the stage Warned
+	Shed       bool   // refuse the call temporarily, unless it is in progress
+	Ended      bool   // refuse the call permanently
+	RetryAfter int    // of a call that is shed, in seconds
 }
 
-// Table says for each call what holds. It never changes, and depends on the state alone.
+// Table looks up the Notice of each call. It is immutable and depends on the state alone.
 type Table struct {
-	slots   []slot
-	of      map[place][]int32 // by version and class, in order: at most one has a call
-	follows map[place][]int32 // by the successor's version and class
+	entries     []tableEntry
+	byVersion   map[versionClass][]int32 // by version and class, ascending; at most one timeline matches a call
+	bySuccessor map[versionClass][]int32 // by the successor's version and the class
 }
 
-// place is a version, and a class or "" for any.
-type place struct{ version, class string }
+// versionClass is a version and a class, which is "" for any class.
+type versionClass struct{ version, class string }
 
-type slot struct {
+// tableEntry is a timeline in the table.
+type tableEntry struct {
 	key    string
 	in     rules.Selector
-	notice Notice // without Shed
-	cut    uint64 // 0: nobody is shed
+	notice Notice // except Shed
+	cut    uint64 // 0: no callers are shed
 	exempt []string
 }
 
-// compile makes a table of the timelines in force by the record's time, and says until when it holds.
-func compile(all []*line, now int64) (*Table, int64) {
-	t := &Table{of: map[place][]int32{}, follows: map[place][]int32{}}
+// buildTable returns the table of the timelines at the record's time now, and the time until which it is valid.
+func buildTable(all []*activeTimeline, now int64) (*Table, int64) {
+	t := &Table{byVersion: map[versionClass][]int32{}, bySuccessor: map[versionClass][]int32{}}
 	until := int64(math.MaxInt64)
-	for i, l := range all {
-		s := slot{key: l.key, in: l.at.In, notice: Notice{Timeline: i, Stage: l.name(), RetryAfter: int(l.t.RetryS)}}
-		if l.stage != nil && l.stage.At > 0 {
-			s.notice.Lines = l.t.lines()
-			s.notice.Ended = l.stage.Stage == Ended
+	for i, active := range all {
+		entry := tableEntry{key: active.key, in: active.parsedKey.In, notice: Notice{Timeline: i, Stage: active.stageName(), RetryAfter: int(active.t.RetryS)}}
+		if active.stage != nil && active.stage.At > 0 {
+			entry.notice.Lines = active.t.headerLines()
+			entry.notice.Ended = active.stage.Stage == Ended
 		}
-		if l.stage != nil && l.stage.Stage == Shed && (l.stage.Held == nil || !l.stage.Held.Harm) {
-			s.cut, _ = parseCut(l.stage.Cut)
+		if active.stage != nil && active.stage.Stage == Shed && (active.stage.Held == nil || !active.stage.Held.Harm) {
+			entry.cut, _ = parseCut(active.stage.Cut)
 		}
-		for _, e := range l.t.Exempt {
+		for _, e := range active.t.Exempt {
 			if now < e.UntilMs {
-				s.exempt = append(s.exempt, e.Caller)
+				entry.exempt = append(entry.exempt, e.Caller)
 				until = min(until, e.UntilMs)
 			}
 		}
-		t.slots = append(t.slots, s)
-		at := place{l.at.Version, l.at.In.Class}
-		t.of[at] = append(t.of[at], int32(i))
-		if l.t.Successor != "" {
-			at.version = l.t.Successor
-			t.follows[at] = append(t.follows[at], int32(i))
+		t.entries = append(t.entries, entry)
+		key := versionClass{active.parsedKey.Version, active.parsedKey.In.Class}
+		t.byVersion[key] = append(t.byVersion[key], int32(i))
+		if active.t.Successor != "" {
+			key.version = active.t.Successor
+			t.bySuccessor[key] = append(t.bySuccessor[key], int32(i))
 		}
 	}
 	return t, until
 }
 
-// lines are the lines of an answer that say that the version ends: RFC 9745, RFC 8594, and their relations of Link.
-func (t *Timeline) lines() string {
+// headerLines returns the response headers that announce the end of the version: Deprecation (RFC 9745), Sunset (RFC 8594)
+// and the corresponding relations of Link.
+func (t *Timeline) headerLines() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "Deprecation: @%d\r\n", t.Steps[1].AtMs/1000)
 	end := time.UnixMilli(t.Steps[len(t.Steps)-1].AtMs).UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT")
@@ -83,14 +85,14 @@
 	return b.String()
 }
 
-// Lookup says what holds for a call of a version. It allocates nothing.
+// Lookup returns the notice for a call of a version. It does not allocate.
 func (t *Table) Lookup(c *rules.Call, version string) Notice {
-	for _, at := range [...]place{{version, c.Class}, {version, ""}} {
-		for _, i := range t.of[at] {
-			if s := &t.slots[i]; s.in.Matches(*c) {
-				n := s.notice
-				n.Shed = s.cut > 0 && below(Hash(s.key, c.Caller), s.cut) && !slices.Contains(s.exempt, c.Caller)
-				return n
+	for _, key := range [...]versionClass{{version, c.Class}, {version, ""}} {
+		for _, i := range t.byVersion[key] {
+			if entry := &t.entries[i]; entry.in.Matches(*c) {
+				notice := entry.notice
+				notice.Shed = entry.cut > 0 && belowCut(CallerHash(entry.key, c.Caller), entry.cut) && !slices.Contains(entry.exempt, c.Caller)
+				return notice
 			}
 		}
 		if c.Class == "" {
@@ -100,12 +102,13 @@
 	return Notice{Timeline: -1}
 }
 
-// Follows gives the number of the next timeline after one whose successor a call names; -1 for none. It begins after -1.
+// Follows returns the number of the next timeline, after the given one, whose successor is the version of the call; -1 if
+// there is none. A search starts with after = -1.
 func (t *Table) Follows(c *rules.Call, version string, after int) int {
 	next := -1
-	for _, at := range [...]place{{version, c.Class}, {version, ""}} {
-		for _, i := range t.follows[at] {
-			if int(i) > after && (next < 0 || int(i) < next) && t.slots[i].in.Matches(*c) {
+	for _, key := range [...]versionClass{{version, c.Class}, {version, ""}} {
+		for _, i := range t.bySuccessor[key] {
+			if int(i) > after && (next < 0 || int(i) < next) && t.entries[i].in.Matches(*c) {
 				next = int(i)
 			}
 		}
@@ -116,30 +119,30 @@
 	return next
 }
 
-// Notice is what holds for the calls of a timeline in the table, but for Shed.
-func (t *Table) Notice(timeline int) Notice { return t.slots[timeline].notice }
+// Notice returns the notice for calls of a timeline in the table, without Shed, which depends on the caller.
+func (t *Table) Notice(timeline int) Notice { return t.entries[timeline].notice }
 
-// Key is the key of a timeline in the table.
-func (t *Table) Key(timeline int) string { return t.slots[timeline].key }
+// Key returns the key of a timeline in the table.
+func (t *Table) Key(timeline int) string { return t.entries[timeline].key }
 
-// Len is how many timelines there are.
-func (t *Table) Len() int { return len(t.slots) }
+// Len returns the number of timelines in the table.
+func (t *Table) Len() int { return len(t.entries) }
 
-// Tables gives the table of each state, the same one as long as nothing of it changes. The zero value is ready; it is safe for
-// any number of goroutines.
+// Tables builds the table of each state and reuses the last one while its inputs do not change. It is safe for concurrent
+// use, and the zero value is ready to use.
 type Tables struct {
-	mu    sync.Mutex
-	from  []record.Item // that the last one was made of
-	until int64         // by the record's time
-	last  *Table
+	mu      sync.Mutex
+	sources []record.Item // items that latest was built from
+	until   int64         // end of the validity of latest, by the record's time
+	latest  *Table
 }
 
-// Of gives the table of a state.
+// Of returns the table of a state.
 func (t *Tables) Of(v record.View) (*Table, error) {
-	var from []record.Item
+	var sources []record.Item
 	for _, k := range []record.Kind{TimelineKind, StageKind} {
 		v.Each(k, func(i record.Item) bool {
-			from = append(from, i)
+			sources = append(sources, i)
 			return true
 		})
 	}
@@ -148,14 +151,14 @@
 	same := func(a, b record.Item) bool {
 		return a.Kind == b.Kind && a.Key == b.Key && string(a.Value) == string(b.Value)
 	}
-	if t.last != nil && v.TimeMs() < t.until && slices.EqualFunc(t.from, from, same) {
-		return t.last, nil
+	if t.latest != nil && v.TimeMs() < t.until && slices.EqualFunc(t.sources, sources, same) {
+		return t.latest, nil
 	}
-	all, err := lines(v)
+	all, err := activeTimelines(v)
 	if err != nil {
 		return nil, err
 	}
-	t.last, t.until = compile(all, v.TimeMs())
-	t.from = from
-	return t.last, nil
+	t.latest, t.until = buildTable(all, v.TimeMs())
+	t.sources = sources
+	return t.latest, nil
 }
--- a/internal/retire/use.go
+++ b/internal/retire/use.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// plus adds two counts of one caller. It is the same in any order.
-func (c Count) plus(d Count) Count {
+// add returns the sum of two counts of the same caller. It is commutative and associative.
+func (c Count) add(d Count) Count {
 	first := min(c.FirstMs, d.FirstMs)
 	if first == 0 {
 		first = max(c.FirstMs, d.FirstMs)
@@ -15,54 +15,54 @@
 	return Count{c.Caller, c.Calls + d.Calls, c.Warned + d.Warned, first, c.Shed + d.Shed, c.Worth + d.Worth, c.Next + d.Next, c.Failed + d.Failed}
 }
 
-// Merge adds up what several processes have counted, in any order, each once.
+// Merge adds up the counts of several processes. Each process must be included once; the order does not matter.
 func Merge(uses []*Use) Use {
 	var out Use
-	at := map[string]int{}
+	indexOf := map[string]int{}
 	for _, u := range uses {
 		out.SeenMs = max(out.SeenMs, u.SeenMs)
-		out.Others = out.Others.plus(u.Others)
+		out.Others = out.Others.add(u.Others)
 		for _, c := range u.Callers {
-			i, ok := at[c.Caller]
+			i, ok := indexOf[c.Caller]
 			if !ok {
-				at[c.Caller] = len(out.Callers)
+				indexOf[c.Caller] = len(out.Callers)
 				out.Callers = append(out.Callers, c)
 				continue
 			}
-			out.Callers[i] = out.Callers[i].plus(c)
+			out.Callers[i] = out.Callers[i].add(c)
 		}
 	}
-	slices.SortFunc(out.Callers, byCaller)
+	slices.SortFunc(out.Callers, compareCallers)
 	return out
 }
 
-func byCaller(a, b Count) int { return cmp.Compare(a.Caller, b.Caller) }
+func compareCallers(a, b Count) int { return cmp.Compare(a.Caller, b.Caller) }
 
-// Fold adds up what ended incarnations have counted, and what was folded before. At most MaxPast callers keep their names, those
-// with most calls; the rest goes to others, with all of its counts.
+// Fold adds up the counts of ended incarnations and the previously folded counts. The MaxFoldedCallers callers with the most
+// calls keep their own counts; all others are added to Others.
 func Fold(uses []*Use) Use {
 	out := Merge(uses)
-	slices.SortFunc(out.Callers, func(a, b Count) int { return cmp.Or(cmp.Compare(b.Calls, a.Calls), byCaller(a, b)) })
-	for _, c := range out.Callers[min(MaxPast, len(out.Callers)):] {
+	slices.SortFunc(out.Callers, func(a, b Count) int { return cmp.Or(cmp.Compare(b.Calls, a.Calls), compareCallers(a, b)) })
+	for _, c := range out.Callers[min(MaxFoldedCallers, len(out.Callers)):] {
 		c.Caller = ""
-		out.Others = out.Others.plus(c)
+		out.Others = out.Others.add(c)
 	}
-	out.Callers = out.Callers[:min(MaxPast, len(out.Callers))]
-	slices.SortFunc(out.Callers, byCaller)
+	out.Callers = out.Callers[:min(MaxFoldedCallers, len(out.Callers))]
+	slices.SortFunc(out.Callers, compareCallers)
 	return out
 }
 
-// Total is the sum over all callers.
+// Total returns the sum over all callers.
 func (u *Use) Total() Count {
 	sum := u.Others
 	for _, c := range u.Callers {
-		sum = sum.plus(c)
+		sum = sum.add(c)
 	}
 	sum.Caller = ""
 	return sum
 }
 
-// Of is what is counted of a caller in its own place.
+// Of returns the count of a caller, which is zero if the caller has no count of its own.
 func (u *Use) Of(caller string) Count {
 	if i, ok := slices.BinarySearchFunc(u.Callers, caller, func(c Count, name string) int { return cmp.Compare(c.Caller, name) }); ok {
 		return u.Callers[i]
@@ -70,13 +70,13 @@
 	return Count{Caller: caller}
 }
 
-// stamped tells whether a stamp is not before now, and not further ahead than allowed.
-func stamped(ms, now, lead int64) bool { return now <= ms && ms <= now+lead }
+// isValidStamp reports whether a timestamp is not before now and at most lead after it.
+func isValidStamp(ms, now, lead int64) bool { return now <= ms && ms <= now+lead }
 
-// follows checks that counts carry on an incarnation's own, nil for its first ones: nothing falls, and a first warning is stamped with
-// the record's time now.
-func (u *Use) follows(old *Use, now int64) error {
-	if !stamped(u.SeenMs, now, UseLeadMs) {
+// checkContinues requires that counts continue the previous ones of the same incarnation, nil for its first report: no
+// counter falls, and the first warning has the record's current time.
+func (u *Use) checkContinues(old *Use, now int64) error {
+	if !isValidStamp(u.SeenMs, now, UseLeadMs) {
 		return fmt.Errorf("seen_ms: %d; the record's time is %d, and it must be up to %d ms later", u.SeenMs, now, UseLeadMs)
 	}
 	if old == nil {
@@ -88,24 +88,24 @@
 		}
 	}
 	for i, c := range u.Callers {
-		if err := c.follows(old.Of(c.Caller), now); err != nil {
+		if err := c.checkContinues(old.Of(c.Caller), now); err != nil {
 			return fmt.Errorf("callers[%d]: %w", i, err)
 		}
 	}
-	if err := u.Others.follows(old.Others, now); err != nil {
+	if err := u.Others.checkContinues(old.Others, now); err != nil {
 		return fmt.Errorf("others: %w", err)
 	}
 	return nil
 }
 
-func (c Count) follows(old Count, now int64) error {
+func (c Count) checkContinues(old Count, now int64) error {
 	if c.Calls < old.Calls || c.Warned < old.Warned || c.Shed < old.Shed || c.Worth < old.Worth || c.Next < old.Next || c.Failed < old.Failed {
 		return fmt.Errorf("%s has lower counts than are there: it is an older report", cmp.Or(c.Caller, "all"))
 	}
 	switch {
 	case old.Warned > 0 && c.FirstMs != old.FirstMs:
 		return fmt.Errorf("first_ms: %d; it was %d", c.FirstMs, old.FirstMs)
-	case old.Warned == 0 && c.Warned > 0 && !stamped(c.FirstMs, now, UseLeadMs):
+	case old.Warned == 0 && c.Warned > 0 && !isValidStamp(c.FirstMs, now, UseLeadMs):
 		return fmt.Errorf("first_ms: %d; the record's time is %d, and it must be up to %d ms later", c.FirstMs, now, UseLeadMs)
 	}
 	return nil
