--- a/internal/clustertest/mutants/limits.go
+++ b/internal/clustertest/mutants/limits.go
@@ -11,10 +11,10 @@
 func ofLimits() []Mutant {
 	const holder, book, state = "lease/holder.go", "lease/book.go", "rules/state.go"
 	late := mutant("lease-after-its-end", "a process goes by a lease that has ended", []h.Promise{h.Leased},
-		edit(holder, "return now < l.until[0] && wall < l.until[1] }", "return l.until[0] > 0 && wall > 0 && now > 0 }"))
+		edit(holder, "return now < l.expiresAt[0] && wall < l.expiresAt[1] }", "return l.expiresAt[0] > 0 && wall > 0 && now > 0 }"))
 	late.Plan = lateWakers
 	forgot := mutant("leases-of-one-leader", "who leads next counts nothing of what the leader before has given", []h.Promise{h.Leased},
-		edit(book, "	if kind == Calls {\n		return keep(MostTail)\n	}\n	return keep(0)\n", "	if kind == Calls {\n		return 0\n	}\n	return 0\n"))
+		edit(book, "	if kind == Calls {\n		return grantLifetime(MostTail)\n	}\n	return grantLifetime(0)\n", "	if kind == Calls {\n		return 0\n	}\n	return 0\n"))
 	forgot.Plan = endedLeaders
 	order := mutant("merge-by-order", "what rules make depends on the order in which they came", []h.Promise{h.SameTable},
 		edit(state, "		s.sum[i] += lane\n", "		s.sum[i] = s.sum[i]*31 + lane\n"))
--- a/internal/lease/book.go
+++ b/internal/lease/book.go
@@ -7,205 +7,210 @@
 	"time"
 )
 
-// mostParts bounds what a Book holds, in limits of holders.
-const mostParts = 1 << 18
+// maxAllocations bounds the memory of a Book: the number of pairs of limit and holder.
+const maxAllocations = 1 << 18
 
-// silent is how long after a holder's last question its demand counts no more.
-const silent = Length / 2
+// demandTimeout is the time after a holder's last request from which its demand is ignored.
+const demandTimeout = Length / 2
 
-// Book is a divider's side for one reign. It is not safe for concurrent use. Its times are of one clock that only runs on, and never
-// go back. What it answers may be sent only after it was proved that nobody else had begun to divide when Answer was called.
+// Book divides the limits on the leader, for one leadership term. It is not safe for concurrent use. All times that are passed to it
+// come from one monotonic clock. Its answers may be sent only after the caller has verified that no other leader had begun to divide
+// when Answer was called.
 type Book struct {
-	epoch   uint64
-	began   time.Duration
-	limits  map[string]*limit
-	holders map[string]*holder
-	parts   int
-	swept   time.Duration
+	epoch       uint64
+	startedAt   time.Duration
+	limits      map[string]*limit
+	holders     map[string]*holderState
+	allocations int
+	lastSweep   time.Duration
 }
 
-type holder struct {
-	name   string
-	number uint64
-	tail   time.Duration
-	heard  time.Duration
-	parts  int
+// holderState is what the leader knows about one holder.
+type holderState struct {
+	name        string
+	number      uint64
+	tail        time.Duration
+	lastSeen    time.Duration
+	allocations int
 }
 
-// limit is a limit in force, or one that is none any more while something of it is out.
+// limit is a limit in force, or a removed one that still has outstanding grants.
 type limit struct {
 	Limit
-	leased  int64         // what may be out; 0 where it is not in force
-	lowered time.Duration // until then no holder is given more than its cap; 0: there are no caps
-	out     int64         // all that is out together
-	wanted  int64
-	parts   map[string]*part // by holder
-	order   []*part          // by when they came
-	parting
+	leasable    int64         // maximum sum of all leases; 0 if the limit is not in force
+	cappedUntil time.Duration // until then each holder is held to its cap; 0: there are no caps
+	outstanding int64         // sum over all holders
+	totalDemand int64
+	allocations map[string]*allocation // by holder
+	byArrival   []*allocation          // in the order of the first request
+	divideScratch
 }
 
-// part is a limit at a holder.
-type part struct {
-	of     *holder
-	out    []grant // that are not ended: amounts fall, ends rise
-	demand int64
-	claim  int64 // while the Book waits: the most that it has claimed under this epoch
-	cap    int64 // while the limit is lowered
-	target int64
-	turn   time.Duration // when the turn that it has began; 0: it has none
-	last   time.Duration // when its last turn began; 0: it had none
-	heard  time.Duration
+// allocation is the part of one limit that is leased to one holder.
+type allocation struct {
+	holder      *holderState
+	outstanding []grant // not expired; amounts fall and expiry times rise along the slice
+	demand      int64
+	claim       int64 // during recovery: the largest amount that the holder has claimed under this epoch
+	cap         int64 // valid until limit.cappedUntil
+	target      int64
+	turnStart   time.Duration // start of its current turn; 0: it has none
+	lastTurn    time.Duration // start of its latest turn; 0: it never had one
+	lastSeen    time.Duration
 }
 
+// grant is an amount that a holder may use until an expiry time.
 type grant struct {
-	amount int64
-	until  time.Duration
+	amount    int64
+	expiresAt time.Duration
 }
 
-// Reply is an answer, or why there is none.
+// Reply holds an answer, or the reason why the request was refused.
 type Reply struct {
 	Answer  Answer
 	Refused string
 }
 
-// NewBook begins a reign. No two reigns of a fleet have one epoch, and none is 0.
+// NewBook returns a Book for a leadership term that starts now. The epoch is not 0, and no other term of the fleet has the same one.
 func NewBook(epoch uint64, now time.Duration) *Book {
-	return &Book{epoch: epoch, began: now, limits: map[string]*limit{}, holders: map[string]*holder{}, swept: now}
+	return &Book{epoch: epoch, startedAt: now, limits: map[string]*limit{}, holders: map[string]*holderState{}, lastSweep: now}
 }
 
-// keep is for how long a divider counts as out what it gives now, in its own time: the holder's clock may be slow, its own fast.
-func keep(tail time.Duration) time.Duration {
+// grantLifetime returns how long the leader counts a new grant as outstanding, by its own clock. It allows for a holder whose clock is
+// slow and a leader whose clock is fast.
+func grantLifetime(tail time.Duration) time.Duration {
 	return Length + Length/Drift + tail + 3*tail/Drift
 }
 
-// Wait is how long after its begin a divider gives only what holders claim.
+// Wait returns how long after its start a new leader grants only what holders claim to have: until then grants of the leader before it may
+// still be in use.
 func Wait(kind string) time.Duration {
 	if kind == Calls {
-		return keep(MostTail)
+		return grantLifetime(MostTail)
 	}
-	return keep(0)
+	return grantLifetime(0)
 }
 
-// Set says which limits are in force from now on. The word is not "" where there are too many: those after the first 1,024 are not divided.
-func (b *Book) Set(now time.Duration, limits []Limit) (word string) {
+// Set replaces the limits in force. The warning is not empty if there are too many: those after the first MostLimits are not divided.
+func (b *Book) Set(now time.Duration, limits []Limit) (warning string) {
 	if len(limits) > MostLimits {
-		word = fmt.Sprintf("%d limits, and only %d are divided", len(limits), MostLimits)
+		warning = fmt.Sprintf("%d limits are set, but only the first %d are divided", len(limits), MostLimits)
 		limits = limits[:MostLimits]
 	}
-	there := make(map[string]bool, len(limits))
+	present := make(map[string]bool, len(limits))
 	for _, l := range limits {
-		there[l.ID] = true
-		was := b.limits[l.ID]
-		if was == nil {
-			was = &limit{parts: map[string]*part{}}
-			was.Limit = l
-			b.limits[l.ID] = was
+		present[l.ID] = true
+		existing := b.limits[l.ID]
+		if existing == nil {
+			existing = &limit{allocations: map[string]*allocation{}}
+			existing.Limit = l
+			b.limits[l.ID] = existing
 		}
 		leased := l.Leased()
-		if was.Kind != l.Kind { // another unit: not before what is out has ended and is forgotten
-			l.Kind, leased = was.Kind, 0
+		if existing.Kind != l.Kind { // in another unit: only after all grants of the old kind have expired
+			l.Kind, leased = existing.Kind, 0
 		}
-		was.Limit = l
-		was.set(now, leased)
+		existing.Limit = l
+		existing.setAmount(now, leased)
 	}
 	for id, l := range b.limits {
-		if !there[id] {
-			l.set(now, 0)
+		if !present[id] {
+			l.setAmount(now, 0)
 		}
 	}
-	return word
+	return warning
 }
 
-// set is where a limit changes. While more is out than it is now, each holder has a cap, and the caps add up to no more than the limit: so
-// what was given before ends or is given back, and nothing that is given since adds up to more.
-func (l *limit) set(now time.Duration, leased int64) {
+// setAmount changes the amount that may be leased. While more than that is outstanding, each holder has a cap, and the caps add up to no more
+// than the new amount: older grants expire or are returned, and newer ones cannot exceed it in sum.
+func (l *limit) setAmount(now time.Duration, leasable int64) {
 	l.expire(now)
-	lower := leased < l.leased
-	if l.leased = leased; !lower || l.out <= leased {
+	lowered := leasable < l.leasable
+	if l.leasable = leasable; !lowered || l.outstanding <= leasable {
 		return
 	}
-	wants := make([]int64, len(l.order))
-	for i, p := range l.order {
-		if wants[i] = p.most(); l.lowered != 0 {
-			wants[i] = min(wants[i], p.cap)
+	claims := make([]int64, len(l.byArrival))
+	for i, p := range l.byArrival {
+		if claims[i] = p.maxBelieved(); l.cappedUntil != 0 {
+			claims[i] = min(claims[i], p.cap)
 		}
-		for _, g := range p.out {
-			l.lowered = max(l.lowered, g.until)
+		for _, g := range p.outstanding {
+			l.cappedUntil = max(l.cappedUntil, g.expiresAt)
 		}
 	}
-	for i, n := range share(leased, wants) {
-		l.order[i].cap = n
+	for i, n := range maxMinShares(leasable, claims) {
+		l.byArrival[i].cap = n
 	}
 }
 
-// expire forgets what has ended.
+// expire drops expired grants.
 func (l *limit) expire(now time.Duration) {
-	l.out = 0
-	for _, p := range l.order {
+	l.outstanding = 0
+	for _, p := range l.byArrival {
 		ended := 0
-		for ended < len(p.out) && p.out[ended].until <= now {
+		for ended < len(p.outstanding) && p.outstanding[ended].expiresAt <= now {
 			ended++
 		}
-		p.out = slices.Delete(p.out, 0, ended)
-		l.out += p.most()
+		p.outstanding = slices.Delete(p.outstanding, 0, ended)
+		l.outstanding += p.maxBelieved()
 	}
-	if l.out <= l.leased || now >= l.lowered {
-		l.lowered = 0
+	if l.outstanding <= l.leasable || now >= l.cappedUntil {
+		l.cappedUntil = 0
 	}
 }
 
-// most is the most that a holder may believe to have.
-func (p *part) most() int64 {
-	if len(p.out) == 0 {
+// maxBelieved returns the largest amount that the holder may believe it has, as answers can be late or lost.
+func (p *allocation) maxBelieved() int64 {
+	if len(p.outstanding) == 0 {
 		return 0
 	}
-	return p.out[0].amount
+	return p.outstanding[0].amount
 }
 
-// cut takes note that the holder goes by no more than an amount.
-func (p *part) cut(most int64) {
-	if most == 0 {
-		p.out = p.out[:0]
+// lowerTo records that the holder uses no more than the given amount.
+func (p *allocation) lowerTo(ceiling int64) {
+	if ceiling == 0 {
+		p.outstanding = p.outstanding[:0]
 		return
 	}
-	for i := range p.out {
-		p.out[i].amount = min(p.out[i].amount, most)
+	for i := range p.outstanding {
+		p.outstanding[i].amount = min(p.outstanding[i].amount, ceiling)
 	}
-	// Of those that are equal now the last one ends last.
-	kept := p.out[:0]
-	for i, g := range p.out {
-		if i+1 == len(p.out) || p.out[i+1].amount < g.amount {
+	// Of grants with equal amounts keep the last one: it expires last.
+	kept := p.outstanding[:0]
+	for i, g := range p.outstanding {
+		if i+1 == len(p.outstanding) || p.outstanding[i+1].amount < g.amount {
 			kept = append(kept, g)
 		}
 	}
-	p.out = kept
+	p.outstanding = kept
 }
 
-// give takes note that an amount is given until a time not before those of earlier ones.
-func (p *part) give(amount int64, until time.Duration) {
-	if n := len(p.out); n > 0 { // a smaller tail: an end never goes back
-		until = max(until, p.out[n-1].until)
+// recordGrant records a new grant. Its expiry is moved to that of the grant before it, if that is later.
+func (p *allocation) recordGrant(amount int64, until time.Duration) {
+	if n := len(p.outstanding); n > 0 { // the holder's tail may have become smaller, but expiry times never fall
+		until = max(until, p.outstanding[n-1].expiresAt)
 	}
-	for n := len(p.out); n > 0 && p.out[n-1].amount <= amount; n-- {
-		p.out = p.out[:n-1]
+	for n := len(p.outstanding); n > 0 && p.outstanding[n-1].amount <= amount; n-- {
+		p.outstanding = p.outstanding[:n-1]
 	}
 	if amount > 0 {
-		p.out = append(p.out, grant{amount, until})
+		p.outstanding = append(p.outstanding, grant{amount, until})
 	}
 }
 
-// Answer divides, and answers questions that have come together.
+// Answer answers a batch of requests: it records all of them, divides each limit concerned once, and then grants.
 func (b *Book) Answer(now time.Duration, asks []Ask) []Reply {
 	b.sweep(now)
 	replies := make([]Reply, len(asks))
 	touched := map[*limit]bool{}
 	for i := range asks {
 		replies[i].Answer = Answer{Epoch: b.epoch, Number: asks[i].Number}
-		replies[i].Refused = b.note(now, &asks[i], touched)
+		replies[i].Refused = b.recordAsk(now, &asks[i], touched)
 	}
 	for l := range touched {
 		l.expire(now)
-		l.divide(now, now < b.began+Wait(l.Kind))
+		l.divide(now, now < b.startedAt+Wait(l.Kind))
 	}
 	for i := range asks {
 		a := &asks[i]
@@ -216,144 +221,144 @@
 		given := make([]Given, 0, len(a.Wants))
 		for _, w := range a.Wants {
 			l := b.limits[w.ID]
-			if l == nil || l.parts[h.name] == nil {
+			if l == nil || l.allocations[h.name] == nil {
 				continue
 			}
-			waits := now < b.began+Wait(l.Kind)
-			if waits && (a.Epoch != b.epoch || l.parts[h.name].claim == 0) {
-				continue // what it has from before stays until it ends
+			recovering := now < b.startedAt+Wait(l.Kind)
+			if recovering && (a.Epoch != b.epoch || l.allocations[h.name].claim == 0) {
+				continue // an earlier leader's grant stays in force until it expires
 			}
-			p := l.parts[h.name]
-			n := l.give(now, p, waits)
-			given = append(given, Given{w.ID, n, !waits && n < p.target && n < w.Demand})
+			p := l.allocations[h.name]
+			n := l.grantTo(now, p, recovering)
+			given = append(given, Given{w.ID, n, !recovering && n < p.target && n < w.Demand})
 		}
 		replies[i].Answer.Given = given
 	}
 	return replies
 }
 
-// note takes in what a question says.
-func (b *Book) note(now time.Duration, a *Ask, touched map[*limit]bool) (refused string) {
+// recordAsk stores the demand and the holdings of a request. It returns the reason if the request is refused.
+func (b *Book) recordAsk(now time.Duration, a *Ask, touched map[*limit]bool) (refused string) {
 	if err := a.Check(); err != nil {
 		return err.Error()
 	}
 	h := b.holders[a.Holder]
 	if h == nil {
 		if len(b.holders) >= MostHolders {
-			return fmt.Sprintf("%d processes hold leases, and no more are served", len(b.holders))
+			return fmt.Sprintf("too many lease holders: at most %d are served", len(b.holders))
 		}
-		h = &holder{name: a.Holder}
+		h = &holderState{name: a.Holder}
 		b.holders[a.Holder] = h
 	}
 	if a.Number <= h.number {
-		return "an older question, or the same again"
+		return "request is a duplicate or older than the last one"
 	}
-	h.number, h.heard, h.tail = a.Number, now, time.Duration(a.TailMs)*time.Millisecond
+	h.number, h.lastSeen, h.tail = a.Number, now, time.Duration(a.TailMs)*time.Millisecond
 	for _, w := range a.Wants {
 		l := b.limits[w.ID]
 		if l == nil {
 			continue
 		}
 		touched[l] = true
-		p := l.parts[h.name]
+		p := l.allocations[h.name]
 		if p == nil {
-			if b.parts >= mostParts {
-				return fmt.Sprintf("%d limits at processes are divided, and no more", b.parts)
+			if b.allocations >= maxAllocations {
+				return fmt.Sprintf("too many leases: at most %d pairs of limit and holder are served", b.allocations)
 			}
-			p = &part{of: h}
-			l.parts[h.name] = p
-			l.order = append(l.order, p)
-			b.parts++
-			h.parts++
+			p = &allocation{holder: h}
+			l.allocations[h.name] = p
+			l.byArrival = append(l.byArrival, p)
+			b.allocations++
+			h.allocations++
 		}
-		p.heard, p.demand = now, w.Demand
+		p.lastSeen, p.demand = now, w.Demand
 		if l.Kind == Calls {
-			p.cut(max(w.Holds, w.Under))
+			p.lowerTo(max(w.Holds, w.Under))
 		} else {
-			p.cut(w.Holds)
+			p.lowerTo(w.Holds)
 		}
-		if a.Epoch == b.epoch && now < b.began+Wait(l.Kind) {
+		if a.Epoch == b.epoch && now < b.startedAt+Wait(l.Kind) {
 			p.claim = max(p.claim, w.Holds)
 		}
 		if a.Leaves {
 			p.demand, p.claim = 0, 0
-			p.cut(w.Under)
+			p.lowerTo(w.Under)
 		}
 	}
 	return ""
 }
 
-// give gives a holder what it has by the division, as far as there is room.
-func (l *limit) give(now time.Duration, p *part, waits bool) int64 {
-	n := p.target
-	if waits {
-		n = min(n, p.claim)
+// grantTo grants a holder its target amount, as far as the amount that is not outstanding allows.
+func (l *limit) grantTo(now time.Duration, p *allocation, recovering bool) int64 {
+	granted := p.target
+	if recovering {
+		granted = min(granted, p.claim)
 	}
-	most := p.most()
-	if l.lowered != 0 {
-		n = min(n, p.cap)
-	} else if n > most {
-		n = most + max(0, min(n-most, l.leased-l.out))
+	before := p.maxBelieved()
+	if l.cappedUntil != 0 {
+		granted = min(granted, p.cap)
+	} else if granted > before {
+		granted = before + max(0, min(granted-before, l.leasable-l.outstanding))
 	}
-	if n > 0 && n < l.quantum() && n < p.target && n > most { // not yet of any use
-		n = most
+	if granted > 0 && granted < l.quantum() && granted < p.target && granted > before { // less than a quantum is of no use
+		granted = before
 	}
 	tail := time.Duration(0)
 	if l.Kind == Calls {
-		tail = p.of.tail
+		tail = p.holder.tail
 	}
-	p.give(n, now+keep(tail))
-	l.out += p.most() - most
+	p.recordGrant(granted, now+grantLifetime(tail))
+	l.outstanding += p.maxBelieved() - before
 	switch {
-	case n == 0:
-		p.turn = 0
-	case p.turn == 0:
-		p.turn, p.last = now, now
+	case granted == 0:
+		p.turnStart = 0
+	case p.turnStart == 0:
+		p.turnStart, p.lastTurn = now, now
 	}
-	return n
+	return granted
 }
 
-// sweep forgets, now and then, who has gone and what has ended.
+// sweep periodically removes holders that have gone, and allocations and limits without grants.
 func (b *Book) sweep(now time.Duration) {
-	if now < b.swept+Length {
+	if now < b.lastSweep+Length {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	for id, l := range b.limits {
 		l.expire(now)
-		l.order = slices.DeleteFunc(l.order, func(p *part) bool {
-			if len(p.out) > 0 || now < p.heard+Length || now < b.began+Wait(l.Kind) && p.claim > 0 {
+		l.byArrival = slices.DeleteFunc(l.byArrival, func(p *allocation) bool {
+			if len(p.outstanding) > 0 || now < p.lastSeen+Length || now < b.startedAt+Wait(l.Kind) && p.claim > 0 {
 				return false
 			}
-			delete(l.parts, p.of.name)
-			p.of.parts--
-			b.parts--
+			delete(l.allocations, p.holder.name)
+			p.holder.allocations--
+			b.allocations--
 			return true
 		})
-		if l.leased == 0 && len(l.order) == 0 {
+		if l.leasable == 0 && len(l.byArrival) == 0 {
 			delete(b.limits, id)
 		}
 	}
 	for name, h := range b.holders {
-		if h.parts == 0 && now >= h.heard+Length {
+		if h.allocations == 0 && now >= h.lastSeen+Length {
 			delete(b.holders, name)
 		}
 	}
 }
 
-// Figure is a limit at the divider, in the unit of its kind.
+// Figure holds the statistics of one limit on the leader, in the unit of the limit's kind.
 type Figure struct {
 	ID, Kind            string
 	Amount, Out, Wanted int64
 	Holders             int
 }
 
-// Figures are the limits in force, the largest by what is wanted of them first, at most so many.
-func (b *Book) Figures(most int) []Figure {
+// Figures returns the statistics of at most count limits in force, by falling demand.
+func (b *Book) Figures(count int) []Figure {
 	var all []Figure
 	for _, l := range b.limits {
-		if l.leased > 0 {
-			all = append(all, Figure{l.ID, l.Kind, l.Amount, l.out, l.wanted, len(l.order)})
+		if l.leasable > 0 {
+			all = append(all, Figure{l.ID, l.Kind, l.Amount, l.outstanding, l.totalDemand, len(l.byArrival)})
 		}
 	}
 	slices.SortFunc(all, func(x, y Figure) int {
@@ -362,8 +367,8 @@
 		}
 		return strings.Compare(x.ID, y.ID)
 	})
-	return all[:min(most, len(all))]
+	return all[:min(count, len(all))]
 }
 
-// Holders is how many processes are known.
+// Holders returns the number of known holders.
 func (b *Book) Holders() int { return len(b.holders) }
--- a/internal/lease/divide.go
+++ b/internal/lease/divide.go
@@ -5,129 +5,130 @@
 	"time"
 )
 
-// parting is scratch of divide.
-type parting struct {
-	wants []int64
-	who   []*part
+// divideScratch holds slices that divide reuses between calls.
+type divideScratch struct {
+	requested  []int64
+	recipients []*allocation
 }
 
-// turnTime is how long a holder has a turn, where there is less than its quantum for each.
-func (l *limit) turnTime() time.Duration {
-	t := 2 * time.Second
-	if q := l.quantum(); l.Kind == Rate && l.leased > 0 && l.leased < q {
-		t = max(t, min(time.Hour, time.Duration(q)*2*time.Second/time.Duration(l.leased)))
+// turnLength returns how long a holder's turn lasts if there is less than a quantum for each holder.
+func (l *limit) turnLength() time.Duration {
+	length := 2 * time.Second
+	if q := l.quantum(); l.Kind == Rate && l.leasable > 0 && l.leasable < q {
+		length = max(length, min(time.Hour, time.Duration(q)*2*time.Second/time.Duration(l.leasable)))
 	}
-	return t
+	return length
 }
 
-// divide sets what each holder is to have: max-min fair by demand, none less than a quantum. What is left over goes in part to those
-// without demand, so that their next call is let in, and in part on top to those with demand; the rest is for whoever asks next.
-func (l *limit) divide(now time.Duration, waits bool) {
-	l.who, l.wants, l.wanted = l.who[:0], l.wants[:0], 0
-	q := l.quantum()
-	idle := 0
-	for _, p := range l.order {
+// divide sets the target of each holder: max-min fair by demand, and never less than a quantum. Half of what remains goes to holders without
+// demand, so that their next call is admitted, and on top to those with demand; the other half is kept for the next requests.
+func (l *limit) divide(now time.Duration, recovering bool) {
+	l.recipients, l.requested, l.totalDemand = l.recipients[:0], l.requested[:0], 0
+	quantum := l.quantum()
+	idleHolders := 0
+	for _, p := range l.byArrival {
 		p.target = 0
-		bound := l.leased
-		if waits {
+		bound := l.leasable
+		if recovering {
 			bound = min(bound, p.claim)
 		}
-		if l.lowered != 0 {
+		if l.cappedUntil != 0 {
 			bound = min(bound, p.cap)
 		}
-		heard := now < p.heard+silent
-		if heard {
-			l.wanted += p.demand
+		active := now < p.lastSeen+demandTimeout
+		if active {
+			l.totalDemand += p.demand
 		}
 		switch {
-		case !heard || bound == 0:
+		case !active || bound == 0:
 		case p.demand == 0:
-			idle++
+			idleHolders++
 		default:
-			l.who, l.wants = append(l.who, p), append(l.wants, min(max(p.demand, q), bound))
+			l.recipients, l.requested = append(l.recipients, p), append(l.requested, min(max(p.demand, quantum), bound))
 		}
 	}
-	if most := max(1, l.leased/q); int64(len(l.who)) > most {
-		l.turns(now, int(most))
+	if slots := max(1, l.leasable/quantum); int64(len(l.recipients)) > slots {
+		l.pickTurns(now, int(slots))
 	}
-	left := l.leased
-	for i, n := range share(l.leased, l.wants) {
-		l.who[i].target = n
-		left -= n
+	remaining := l.leasable
+	for i, n := range maxMinShares(l.leasable, l.requested) {
+		l.recipients[i].target = n
+		remaining -= n
 	}
-	l.spread(left/2, idle, now) // the other half is for whoever asks next
+	l.spreadSpare(remaining/2, idleHolders, now) // the other half is kept for the next requests
 }
 
-// turns keeps those whose turn it is.
-func (l *limit) turns(now time.Duration, most int) {
-	length := l.turnTime()
-	rank := func(p *part) time.Duration {
-		if p.turn != 0 && now < p.turn+length {
+// pickTurns limits the recipients to those whose turn it is: first the holders whose turn still lasts, then those whose last turn began
+// earliest.
+func (l *limit) pickTurns(now time.Duration, slots int) {
+	length := l.turnLength()
+	rank := func(p *allocation) time.Duration {
+		if p.turnStart != 0 && now < p.turnStart+length {
 			return -1
 		}
-		return p.last
+		return p.lastTurn
 	}
-	slices.SortStableFunc(l.who, func(x, y *part) int { return int(max(-1, min(1, rank(x)-rank(y)))) })
-	for _, p := range l.who[most:] {
-		if p.turn != 0 && now >= p.turn+length {
-			p.turn = 0
+	slices.SortStableFunc(l.recipients, func(x, y *allocation) int { return int(max(-1, min(1, rank(x)-rank(y)))) })
+	for _, p := range l.recipients[slots:] {
+		if p.turnStart != 0 && now >= p.turnStart+length {
+			p.turnStart = 0
 		}
 	}
-	for _, p := range l.who[:most] {
-		if p.turn != 0 && now >= p.turn+length { // it has the next one too
-			p.turn, p.last = now, now
+	for _, p := range l.recipients[:slots] {
+		if p.turnStart != 0 && now >= p.turnStart+length { // nobody waits longer: it gets the next turn too
+			p.turnStart, p.lastTurn = now, now
 		}
 	}
-	l.who, l.wants = l.who[:most], l.wants[:0]
-	for _, p := range l.who {
-		l.wants = append(l.wants, min(max(p.demand, l.quantum()), l.leased))
+	l.recipients, l.requested = l.recipients[:slots], l.requested[:0]
+	for _, p := range l.recipients {
+		l.requested = append(l.requested, min(max(p.demand, l.quantum()), l.leasable))
 	}
 }
 
-// spread gives out an amount that nobody has demanded: a quantum to each without demand, if it is enough for all of them, and what is left on top
-// of what the others have.
-func (l *limit) spread(left int64, idle int, now time.Duration) {
-	q := l.quantum()
-	if idle > 0 && left/int64(idle) >= q {
-		for _, p := range l.order {
-			if now < p.heard+silent && p.demand == 0 && left >= q {
-				p.target = q
-				left -= q
+// spreadSpare distributes an amount that nobody has demanded: a quantum to each holder without demand, if it is enough for all of them, and
+// what remains on top of the targets of the others.
+func (l *limit) spreadSpare(spare int64, idleHolders int, now time.Duration) {
+	quantum := l.quantum()
+	if idleHolders > 0 && spare/int64(idleHolders) >= quantum {
+		for _, p := range l.byArrival {
+			if now < p.lastSeen+demandTimeout && p.demand == 0 && spare >= quantum {
+				p.target = quantum
+				spare -= quantum
 			}
 		}
 	}
-	if n := int64(len(l.who)); n > 0 {
-		for _, p := range l.who {
-			p.target += min(p.target/2, left/n)
+	if n := int64(len(l.recipients)); n > 0 {
+		for _, p := range l.recipients {
+			p.target += min(p.target/2, spare/n)
 		}
 	}
 }
 
-// share is the max-min fair division of whole units: nobody has more than it wants, and who has less than it wants has
-// no less than any other, but for one unit.
-func share(amount int64, wants []int64) []int64 {
-	given := make([]int64, len(wants))
+// maxMinShares computes the max-min fair division of whole units: no share exceeds its demand, and a share below its demand is at most one
+// unit smaller than any other.
+func maxMinShares(amount int64, wants []int64) []int64 {
+	shares := make([]int64, len(wants))
 	sorted := slices.Clone(wants)
 	slices.Sort(sorted)
-	level, extra := int64(-1), int64(0) // all have what they want
+	level, remainder := int64(-1), int64(0) // negative: every demand is met
 	for i, w := range sorted {
 		n := int64(len(sorted) - i)
 		if w*n > amount {
-			level, extra = amount/n, amount%n
+			level, remainder = amount/n, amount%n
 			break
 		}
 		amount -= w
 	}
 	for i, w := range wants {
-		given[i] = w
+		shares[i] = w
 		if level < 0 || w <= level {
 			continue
 		}
-		given[i] = level
-		if extra > 0 {
-			given[i]++
-			extra--
+		shares[i] = level
+		if remainder > 0 {
+			shares[i]++
+			remainder--
 		}
 	}
-	return given
+	return shares
 }
--- a/internal/lease/hard_test.go
+++ b/internal/lease/hard_test.go
@@ -81,7 +81,7 @@
 		w.check()
 		w.round(p)
 		for range 4 {
-			w.now += rapid.SampledFrom([]time.Duration{100 * time.Millisecond, silent, Length / 3}).Draw(w.t, "lowered")
+			w.now += rapid.SampledFrom([]time.Duration{100 * time.Millisecond, demandTimeout, Length / 3}).Draw(w.t, "lowered")
 			w.check()
 			for _, q := range w.holders {
 				if q != p {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,86 +2,86 @@
 
 import "time"
 
-// Holder is a process's side: what it may go by. Two times are given to it, by a clock that only runs on (now) and by the
-// machine's (wall): the one that ends a lease earlier counts. It is not safe for concurrent use.
+// Holder tracks the leases of one process. Callers pass two times, of a monotonic clock (now) and of the wall clock (wall): a lease has
+// expired as soon as either says so. It is not safe for concurrent use.
 type Holder struct {
-	name   string
-	tail   time.Duration
-	epoch  uint64
-	number uint64
-	open   bool // the last question has no answer yet
-	sent   [2]time.Duration
-	held   map[string]*Held
-	order  []*Held
-	next   int // in order, of the next question's first limit, where one question cannot name all
+	name           string
+	tail           time.Duration
+	epoch          uint64
+	number         uint64
+	awaitingAnswer bool // the last request has no answer yet
+	sentAt         [2]time.Duration
+	held           map[string]*Held
+	askOrder       []*Held
+	askCursor      int // index in askOrder at which the next request starts, as one request may not have room for all limits
 }
 
-// Held is one limit at a holder.
+// Held is the state of one limit at its holder.
 type Held struct {
 	Limit
-	amount int64
-	until  [2]time.Duration
-	gone   bool
+	amount    int64
+	expiresAt [2]time.Duration
+	removed   bool
 }
 
-// Use is what a process says of its use of a limit.
+// Use is the usage of a limit that a process reports.
 type Use struct {
-	Demand int64 // what it could use
-	Under  int64 // calls under way, of Calls
-	Most   int64 // it goes by no more from now on, whatever it has; negative: by all that it has
+	Demand int64 // the amount that it could use
+	Under  int64 // calls in flight, for limits of kind Calls
+	Most   int64 // the process uses no more than this from now on, even if more is leased; negative: all that is leased
 }
 
-// NewHolder returns a holder that has nothing. The name is no other's, of this start or an earlier one. The tail is how long a
-// call may last after the end of its lease.
+// NewHolder returns a holder without leases. The name is unique, also among earlier starts of the same process. The tail is how long a call may
+// continue after its lease has expired; it is capped at MostTail.
 func NewHolder(name string, tail time.Duration) *Holder {
 	return &Holder{name: name, tail: max(0, min(tail, MostTail)), held: map[string]*Held{}}
 }
 
-// Tail is how long a call may last that is counted by a limit of calls.
+// Tail returns how long a call that a limit of kind Calls counts may last.
 func (h *Holder) Tail() time.Duration { return h.tail }
 
-// Set says which limits are in force at this process. What it holds of others is forgotten.
+// Set replaces the limits in force at this process. Leases of other limits are dropped.
 func (h *Holder) Set(limits []Limit) {
 	held := make(map[string]*Held, len(limits))
-	h.order = h.order[:0]
+	h.askOrder = h.askOrder[:0]
 	for _, l := range limits {
-		was := h.held[l.ID]
+		existing := h.held[l.ID]
 		if held[l.ID] != nil {
 			continue
 		}
-		if was == nil || was.Kind != l.Kind {
-			was = &Held{}
+		if existing == nil || existing.Kind != l.Kind {
+			existing = &Held{}
 		}
-		was.Limit = l
-		held[l.ID] = was
-		h.order = append(h.order, was)
+		existing.Limit = l
+		held[l.ID] = existing
+		h.askOrder = append(h.askOrder, existing)
 	}
-	for id, was := range h.held {
-		if held[id] != was {
-			was.gone = true
+	for id, existing := range h.held {
+		if held[id] != existing {
+			existing.removed = true
 		}
 	}
-	h.held, h.next = held, 0
+	h.held, h.askCursor = held, 0
 }
 
-// Held gives a limit, nil where none of this id is in force.
+// Held returns the limit with the given id, or nil if it is not in force.
 func (h *Holder) Held(id string) *Held { return h.held[id] }
 
-// Epoch is the divider's of the last answer, 0 before it.
+// Epoch returns the leader's epoch in the last answer, or 0 before the first one.
 func (h *Holder) Epoch() uint64 { return h.epoch }
 
-// Ask makes the next question, which is to be sent after now. It ends the time of the one before: an answer to that counts for nothing.
+// Ask builds the next request, which is sent after now. It supersedes the request before it, whose answer will be ignored.
 func (h *Holder) Ask(now, wall time.Duration, use func(*Held) Use) Ask {
 	h.number++
-	h.open, h.sent = true, [2]time.Duration{now, wall}
+	h.awaitingAnswer, h.sentAt = true, [2]time.Duration{now, wall}
 	a := Ask{Holder: h.name, Number: h.number, Epoch: h.epoch, TailMs: int64(h.tail / time.Millisecond)}
-	bytes := 0
-	for i := range h.order {
-		at := (h.next + i) % len(h.order)
-		l := h.order[at]
-		bytes += len(l.ID) + 80
-		if len(a.Wants) == MostWants || bytes > mostBytes {
-			h.next = at
+	size := 0
+	for i := range h.askOrder {
+		index := (h.askCursor + i) % len(h.askOrder)
+		l := h.askOrder[index]
+		size += len(l.ID) + 80
+		if len(a.Wants) == MostWants || size > maxAskBytes {
+			h.askCursor = index
 			break
 		}
 		u := use(l)
@@ -89,7 +89,7 @@
 			l.amount = min(l.amount, u.Most)
 		}
 		w := Want{ID: l.ID, Under: u.Under, Demand: max(0, min(u.Demand, l.Amount))}
-		if l.leased(now, wall) {
+		if l.inForce(now, wall) {
 			w.Holds = l.amount
 		}
 		a.Wants = append(a.Wants, w)
@@ -97,41 +97,44 @@
 	return a
 }
 
-// Leave makes the last question, which gives back what is held. Nothing is held from then on.
+// Leave builds the last request, which returns all leases. They end at once at this holder.
 func (h *Holder) Leave(now, wall time.Duration, use func(*Held) Use) Ask {
-	for _, l := range h.order {
-		l.until = [2]time.Duration{}
+	for _, l := range h.askOrder {
+		l.expiresAt = [2]time.Duration{}
 	}
 	a := h.Ask(now, wall, use)
-	a.Leaves, h.open = true, false
+	a.Leaves, h.awaitingAnswer = true, false
 	return a
 }
 
-// Answer takes an answer; false where it counts for nothing: it is not the one to the last question, or came twice. What it does
-// not name stays as it was.
+// Answer applies an answer. It returns false and ignores the answer if it is a duplicate or does not belong to the last request. Limits that
+// the answer does not name stay as they are.
 func (h *Holder) Answer(a *Answer) bool {
-	if !h.open || a.Number != h.number {
+	if !h.awaitingAnswer || a.Number != h.number {
 		return false
 	}
-	h.open, h.epoch = false, a.Epoch
+	h.awaitingAnswer, h.epoch = false, a.Epoch
 	const length = Length - Length/Drift
 	for _, g := range a.Given {
 		if l := h.held[g.ID]; l != nil {
 			l.amount = max(0, g.Amount)
-			l.until = [2]time.Duration{h.sent[0] + length, h.sent[1] + length}
+			l.expiresAt = [2]time.Duration{h.sentAt[0] + length, h.sentAt[1] + length}
 		}
 	}
 	return true
 }
 
-func (l *Held) leased(now, wall time.Duration) bool { return now < l.until[0] && wall < l.until[1] }
+// inForce reports whether the lease has not expired by either clock.
+func (l *Held) inForce(now, wall time.Duration) bool {
+	return now < l.expiresAt[0] && wall < l.expiresAt[1]
+}
 
-// Now tells the amount in force at a time, and whether it is leased. Where open is true there is no limit.
-func (l *Held) Now(now, wall time.Duration) (amount int64, leased, open bool) {
+// Now returns the amount in force, and whether it comes from a lease. If unlimited is true there is no limit.
+func (l *Held) Now(now, wall time.Duration) (amount int64, leased, unlimited bool) {
 	switch {
-	case l.gone:
+	case l.removed:
 		return 0, false, true
-	case l.leased(now, wall):
+	case l.inForce(now, wall):
 		return min(max(l.amount, l.Part()), l.Amount), true, false
 	case l.Cut.Mode == Open:
 		return 0, false, true
@@ -139,8 +142,8 @@
 	return l.Part(), false, false
 }
 
-// Until is when the lease ends by the clock that only runs on.
-func (l *Held) Until() time.Duration { return l.until[0] }
+// Until returns the expiry time of the lease by the monotonic clock.
+func (l *Held) Until() time.Duration { return l.expiresAt[0] }
 
-// Leased is the amount of the lease, whether or not it has ended.
+// Leased returns the amount of the lease, even if it has expired.
 func (l *Held) Leased() int64 { return l.amount }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,8 @@
-// Package lease divides limits that hold for a whole fleet over its processes, by leases that end by themselves. It is pure: no
-// I/O, no clock, no goroutine; times are given by the caller. docs/limits.md has the design.
+// Package lease divides limits that apply to a whole fleet among its processes, with leases that expire by themselves. A call is a client's
+// request. The package is pure: it does no I/O, reads no clock and starts no goroutine; callers pass in all times. docs/limits.md describes
+// the design.
 //
-// This file is what holders and dividers say to one another.
+// This file defines the messages between holders and the leader.
 package lease
 
 import (
@@ -9,40 +10,41 @@
 	"time"
 )
 
-// Length is for how long an amount is given. It is a constant of the wire: whoever divides next waits for as long.
+// Length is the duration of a lease. All versions of the program must agree on it, as a new leader waits that long for leases of the old one
+// to expire.
 const Length = 3 * time.Second
 
-// Drift is the part of a time by which a clock that only runs on may be off: one in so many.
+// Drift is the divisor of the largest clock error: a monotonic clock may be off by 1/Drift of the time that it measures.
 const Drift = 100
 
-// MostTail is the longest that a call which is counted by a limit of calls may last after its lease's end.
+// MostTail is the longest time that a call which a limit of kind Calls counts may continue after its lease has expired.
 const MostTail = 30 * time.Second
 
-// Bounds of what is said. A question in JSON stays under 64 KiB by the last three.
+// Bounds of messages. MostName, maxAskBytes and MostAmount keep a request in JSON below 64 KiB.
 const (
 	MostHolders = 4096
 	MostLimits  = 1024
-	MostWants   = 400      // limits in one question
+	MostWants   = 400      // limits in one request
 	MostID      = 512      // bytes of a limit's id
 	MostName    = 128      // bytes of a holder's name
-	mostBytes   = 48 << 10 // of a question as a holder makes it
+	maxAskBytes = 48 << 10 // size at which a holder stops adding limits to a request
 	MostAmount  = 1 << 50
 )
 
 // The kinds of limits.
 const (
-	Rate  = "rate"  // thousandths of a call a second
-	Calls = "calls" // calls under way
+	Rate  = "rate"  // in thousandths of a call per second
+	Calls = "calls" // in calls in flight
 )
 
-// What holds at a process that has no lease.
+// Modes of a Cut: what applies at a process without a lease.
 const (
-	Nothing = "nothing"
-	Reserve = "reserve" // its part of what is never leased
+	Nothing = "nothing" // no call is admitted
+	Reserve = "reserve" // its share of the amount that is never leased
 	Open    = "open"    // no limit
 )
 
-// Limit is one limit of the fleet.
+// Limit is one limit that applies to the whole fleet.
 type Limit struct {
 	ID     string `json:"id"` // the key of its rule
 	Kind   string `json:"kind"`
@@ -50,72 +52,72 @@
 	Cut    Cut    `json:"cut"`
 }
 
-// Cut is what holds at a process that is cut off.
+// Cut sets what applies at a process that is cut off from the leader and has no lease.
 type Cut struct {
-	Mode  string `json:"mode"`            // Nothing where it is ""
+	Mode  string `json:"mode"`            // "" means Nothing
 	Share int64  `json:"share,omitempty"` // with Reserve: thousandths of the limit that are never leased
-	Among int64  `json:"among,omitempty"` // with Reserve: processes that divide them, at least 1
+	Among int64  `json:"among,omitempty"` // with Reserve: number of processes that share them, at least 1
 }
 
-// Ask is what a holder says and wants, four times a second.
+// Ask is a holder's lease request, sent about four times a second: what it holds and what it could use.
 type Ask struct {
-	Holder string `json:"holder"`          // the process's name, '/', and a number drawn at its start
-	Number uint64 `json:"number"`          // of this holder's questions, rising; an older one that comes late counts for nothing
-	Epoch  uint64 `json:"epoch,omitempty"` // of the divider's last answer, which this holder had before it asked; 0 for none
+	Holder string `json:"holder"`          // name of the process, '/', and a random number chosen at its start
+	Number uint64 `json:"number"`          // rises with each request of this holder; an older request that arrives late is refused
+	Epoch  uint64 `json:"epoch,omitempty"` // from the last answer that this holder has received; 0 for none
 	TailMs int64  `json:"tail_ms,omitempty"`
-	Leaves bool   `json:"leaves,omitempty"` // it gives back all that it has, and asks no more
+	Leaves bool   `json:"leaves,omitempty"` // it returns all leases and sends no further requests
 	Wants  []Want `json:"wants,omitempty"`  // by limit
 }
 
-// Want is one limit at a holder.
+// Want is what a holder holds and could use of one limit.
 type Want struct {
 	ID     string `json:"id"`
-	Holds  int64  `json:"holds,omitempty"` // the most of a lease that it goes by now, or will until the answer
-	Under  int64  `json:"under,omitempty"` // calls under way, of Calls; they may be more than it holds any more
-	Demand int64  `json:"demand"`          // what it could use
+	Holds  int64  `json:"holds,omitempty"` // the most of its lease that it uses now or will use before the answer
+	Under  int64  `json:"under,omitempty"` // calls in flight, for limits of kind Calls; may exceed what it still holds
+	Demand int64  `json:"demand"`          // the amount that it could use
 }
 
-// Check gives the first thing wrong with a question, with its place.
+// Check returns an error that names the first invalid field of the request.
 func (a *Ask) Check() error {
 	switch {
 	case a.Holder == "" || len(a.Holder) > MostName:
-		return fmt.Errorf("holder: 1 to %d bytes are expected", MostName)
+		return fmt.Errorf("holder: must have 1 to %d bytes", MostName)
 	case a.Number == 0:
-		return fmt.Errorf("number: at least 1 is expected")
+		return fmt.Errorf("number: must be at least 1")
 	case a.TailMs < 0 || a.TailMs > MostTail.Milliseconds():
-		return fmt.Errorf("tail_ms: 0 to %d is expected", MostTail.Milliseconds())
+		return fmt.Errorf("tail_ms: must be 0 to %d", MostTail.Milliseconds())
 	case len(a.Wants) > MostWants:
-		return fmt.Errorf("wants: %d, and at most %d are expected", len(a.Wants), MostWants)
+		return fmt.Errorf("wants: %d entries, at most %d are allowed", len(a.Wants), MostWants)
 	}
 	seen := make(map[string]bool, len(a.Wants))
 	for i, w := range a.Wants {
 		switch {
 		case w.ID == "" || len(w.ID) > MostID:
-			return fmt.Errorf("wants[%d].id: 1 to %d bytes are expected", i, MostID)
+			return fmt.Errorf("wants[%d].id: must have 1 to %d bytes", i, MostID)
 		case seen[w.ID]:
-			return fmt.Errorf("wants[%d].id: %.80q is there twice", i, w.ID)
+			return fmt.Errorf("wants[%d].id: %.80q is a duplicate", i, w.ID)
 		}
 		seen[w.ID] = true
 		for _, n := range []struct {
-			name string
-			is   int64
+			name  string
+			value int64
 		}{{"holds", w.Holds}, {"under", w.Under}, {"demand", w.Demand}} {
-			if n.is < 0 || n.is > MostAmount {
-				return fmt.Errorf("wants[%d].%s: 0 to %d is expected", i, n.name, int64(MostAmount))
+			if n.value < 0 || n.value > MostAmount {
+				return fmt.Errorf("wants[%d].%s: must be 0 to %d", i, n.name, int64(MostAmount))
 			}
 		}
 	}
 	return nil
 }
 
-// Answer is what is given from the question on.
+// Answer lists what is granted, each for Length from the sending of the request.
 type Answer struct {
 	Epoch  uint64  `json:"epoch"`
-	Number uint64  `json:"number"` // of the question
+	Number uint64  `json:"number"` // of the request
 	Given  []Given `json:"given,omitempty"`
 }
 
-// Reserved is what of a limit is never leased, in the unit of its kind.
+// Reserved returns the amount of the limit that is never leased, in the unit of its kind.
 func (l *Limit) Reserved() int64 {
 	if l.Cut.Mode != Reserve {
 		return 0
@@ -123,28 +125,28 @@
 	return l.Amount/1000*l.Cut.Share + l.Amount%1000*l.Cut.Share/1000
 }
 
-// Part is what of the reserve each cut-off process has, in the unit of the limit's kind.
+// Part returns each cut-off process's share of the reserve, in the unit of the limit's kind.
 func (l *Limit) Part() int64 {
 	n := l.Reserved() / max(1, l.Cut.Among)
 	if l.Kind == Rate {
-		n = n / 100 * paid
+		n = n / 100 * ratePercent
 	}
 	return n
 }
 
-// paid is how many hundredths of a rate are divided: the rest pays for the one call that each bucket may be ahead.
-const paid = 97
+// ratePercent is the percentage of a rate that is leased: the rest covers the one call by which each token bucket may be ahead.
+const ratePercent = 97
 
-// Leased is the most of a limit that leases add up to.
+// Leased returns the maximum sum of all leases of the limit.
 func (l *Limit) Leased() int64 {
 	n := max(0, l.Amount-l.Reserved())
 	if l.Kind == Rate {
-		n = n/100*paid + n%100*paid/100
+		n = n/100*ratePercent + n%100*ratePercent/100
 	}
 	return n
 }
 
-// quantum is the least of which a process has any use: one call a second, or one at once.
+// quantum returns the smallest amount that a process can make use of: one call per second, or one call in flight.
 func (l *Limit) quantum() int64 {
 	if l.Kind == Rate {
 		return 1000
@@ -152,9 +154,9 @@
 	return 1
 }
 
-// Given is one amount.
+// Given is the amount granted of one limit.
 type Given struct {
 	ID     string `json:"id"`
 	Amount int64  `json:"amount"`
-	Short  bool   `json:"short,omitempty"` // more is due, and comes when others have given back: ask soon
+	Short  bool   `json:"short,omitempty"` // more will be granted once others have returned it: ask again soon
 }
