--- a/internal/limits/bucket.go
+++ b/internal/limits/bucket.go
@@ -10,135 +10,136 @@
 )
 
 const (
-	fast = 150 * time.Millisecond // over which a change of demand is seen
-	slow = 600 * time.Millisecond // over which demand is smoothed
+	fastWindow = 150 * time.Millisecond // time constant for detecting a change of demand
+	slowWindow = 600 * time.Millisecond // time constant for smoothing demand
 
-	// pauses is when a refused call may come again, where nothing else tells.
-	pauses = 500 * time.Millisecond
+	// defaultRetryAfter is the delay that a refused call is told if no better estimate exists.
+	defaultRetryAfter = 500 * time.Millisecond
 )
 
-// bucket is one limit at this process. It is used under Limits' lock.
+// bucket enforces one limit at this process. It is protected by Limits.mu.
 type bucket struct {
-	id     string
-	calls  bool
-	held   *lease.Held
-	amount int64 // that is in force, of the limit's unit
-	leased bool
-	open   bool // there is no limit
-	rate   *rate.Limiter
-
-	under         int64 // calls under way
-	peak          int64 // the most of them since the last sample
-	offered       int64 // calls since the last sample, refused ones too
-	refused       int64
-	quick, smooth float64 // demand, in calls a second, or at once
-	told          float64 // demand by the last question
-	soon          bool    // the last answer asks for another question
+	id          string
+	countsCalls bool
+	held        *lease.Held
+	amount      int64 // in force, in the limit's unit
+	leased      bool
+	unlimited   bool // no limit applies
+	limiter     *rate.Limiter
+
+	inFlight                 int64 // calls in flight
+	peakInFlight             int64 // maximum of inFlight since the last sample
+	offered                  int64 // calls since the last sample, including refused ones
+	refused                  int64
+	fastDemand, smoothDemand float64 // demand, in calls per second or in calls in flight
+	reportedDemand           float64 // demand in the last request
+	askSoon                  bool    // the last answer calls for an early next request
 }
 
-func newBucket(id string, calls bool) *bucket {
-	b := &bucket{id: id, calls: calls}
-	b.rate = rate.NewLimiter(0, 0)
+// newBucket returns an empty bucket.
+func newBucket(id string, countsCalls bool) *bucket {
+	b := &bucket{id: id, countsCalls: countsCalls}
+	b.limiter = rate.NewLimiter(0, 0)
 	return b
 }
 
-// set puts an amount in force. A bucket that had nothing, or lost all, is empty: what processes without a lease have saved up would
-// add up to more than the limit.
-func (b *bucket) set(at time.Time, amount int64, open bool) {
-	was := b.amount
-	b.amount, b.open = amount, open
-	if b.calls {
+// setAmount puts an amount in force. The bucket starts empty if the amount was or becomes 0: the tokens that processes without a lease had
+// saved would add up to more than the limit.
+func (b *bucket) setAmount(at time.Time, amount int64, unlimited bool) {
+	previous := b.amount
+	b.amount, b.unlimited = amount, unlimited
+	if b.countsCalls {
 		return
 	}
-	a, burst := float64(amount)/1000, max(1, int(amount/25_000)) // of 40 ms
-	if was == 0 || amount == 0 {
-		b.rate = rate.NewLimiter(rate.Limit(a), burst)
-		b.rate.AllowN(at, burst)
+	perSecond, burst := float64(amount)/1000, max(1, int(amount/25_000)) // the calls of 40 ms
+	if previous == 0 || amount == 0 {
+		b.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
+		b.limiter.AllowN(at, burst)
 		return
 	}
-	b.rate.SetLimitAt(at, rate.Limit(a))
-	b.rate.SetBurstAt(at, burst)
+	b.limiter.SetLimitAt(at, rate.Limit(perSecond))
+	b.limiter.SetBurstAt(at, burst)
 }
 
-// wait is how long until there is room for one call more; 0 where there is.
+// wait returns how long until one more call can be admitted; 0 if it can be now.
 func (b *bucket) wait(at time.Time) time.Duration {
 	switch {
-	case b.open:
+	case b.unlimited:
 		return 0
-	case b.calls && b.under < b.amount:
+	case b.countsCalls && b.inFlight < b.amount:
 		return 0
-	case b.calls || b.amount == 0:
-		return pauses
+	case b.countsCalls || b.amount == 0:
+		return defaultRetryAfter
 	}
-	if missing := 1 - b.rate.TokensAt(at); missing > 0 {
+	if missing := 1 - b.limiter.TokensAt(at); missing > 0 {
 		return max(time.Millisecond, time.Duration(missing/float64(b.amount)*1000*float64(time.Second)))
 	}
 	return 0
 }
 
-// take uses up what one call needs. wait has found that it is there.
+// take consumes the token of one call, after wait has returned 0.
 func (b *bucket) take(at time.Time) {
-	if !b.open {
-		b.rate.AllowN(at, 1)
+	if !b.unlimited {
+		b.limiter.AllowN(at, 1)
 	}
 }
 
-// sample takes in what was offered in a time.
-func (b *bucket) sample(took time.Duration) {
-	seen := float64(b.offered) / took.Seconds()
-	if b.calls {
-		seen = float64(max(b.peak, b.under) + b.refused)
+// sample updates the demand from the calls that were offered in the elapsed time.
+func (b *bucket) sample(elapsed time.Duration) {
+	observed := float64(b.offered) / elapsed.Seconds()
+	if b.countsCalls {
+		observed = float64(max(b.peakInFlight, b.inFlight) + b.refused)
 	}
-	b.offered, b.refused, b.peak = 0, 0, b.under
-	toward := func(to *float64, over time.Duration) {
-		*to += (seen - *to) * (1 - math.Exp(-took.Seconds()/over.Seconds()))
+	b.offered, b.refused, b.peakInFlight = 0, 0, b.inFlight
+	toward := func(average *float64, window time.Duration) {
+		*average += (observed - *average) * (1 - math.Exp(-elapsed.Seconds()/window.Seconds()))
 	}
-	toward(&b.quick, fast)
-	toward(&b.smooth, slow)
-	if math.Abs(b.quick-b.smooth) > 2*noise(b.smooth, b.quick) {
-		b.smooth = b.quick
+	toward(&b.fastDemand, fastWindow)
+	toward(&b.smoothDemand, slowWindow)
+	if math.Abs(b.fastDemand-b.smoothDemand) > 2*demandNoise(b.smoothDemand, b.fastDemand) {
+		b.smoothDemand = b.fastDemand
 	}
-	if b.smooth < 0.05 {
-		b.smooth = 0
+	if b.smoothDemand < 0.05 {
+		b.smoothDemand = 0
 	}
 }
 
-// noise is by how much demand over the short time is off, where calls come by chance.
-func noise(a, b float64) float64 { return math.Sqrt(max(a, b) / (2 * fast.Seconds())) }
+// demandNoise returns the standard deviation of fastDemand for calls that arrive at random (a Poisson process).
+func demandNoise(a, b float64) float64 { return math.Sqrt(max(a, b) / (2 * fastWindow.Seconds())) }
 
-// moved tells whether demand has changed so much since the last question that the next one should not wait.
-func (b *bucket) moved() bool {
-	if (b.told == 0) != (b.smooth == 0) && b.amount < b.unit() {
+// demandChanged reports whether demand has changed enough since the last request for the next one to be sent early.
+func (b *bucket) demandChanged() bool {
+	if (b.reportedDemand == 0) != (b.smoothDemand == 0) && b.amount < b.unit() {
 		return true
 	}
-	return math.Abs(b.smooth-b.told) > 0.1*b.told+2*noise(b.smooth, b.told) && (b.smooth*float64(b.unit()) > float64(b.amount) || b.smooth < b.told)
+	return math.Abs(b.smoothDemand-b.reportedDemand) > 0.1*b.reportedDemand+2*demandNoise(b.smoothDemand, b.reportedDemand) && (b.smoothDemand*float64(b.unit()) > float64(b.amount) || b.smoothDemand < b.reportedDemand)
 }
 
-// unit is one call in the limit's unit.
+// unit returns one call in the limit's unit.
 func (b *bucket) unit() int64 {
-	if b.calls {
+	if b.countsCalls {
 		return 1
 	}
 	return 1000
 }
 
-// use is what the next question says. Where demand has fallen the process goes by less from now on, so that others can have the
-// rest at once.
-func (b *bucket) use() lease.Use {
+// reportUse returns the usage for the next request. If demand has fallen, the process limits itself to less from now on, so that others can
+// have the rest at once.
+func (b *bucket) reportUse() lease.Use {
 	unit := float64(b.unit())
-	spare := 0.05*b.smooth + noise(b.smooth, b.smooth)/4
-	u := lease.Use{Demand: int64(math.Ceil((b.smooth + spare) * unit))}
-	if b.smooth == 0 {
-		u.Demand = 0
+	margin := 0.05*b.smoothDemand + demandNoise(b.smoothDemand, b.smoothDemand)/4
+	use := lease.Use{Demand: int64(math.Ceil((b.smoothDemand + margin) * unit))}
+	if b.smoothDemand == 0 {
+		use.Demand = 0
 	}
-	u.Most = int64(max(unit, math.Ceil((b.smooth+spare)*unit)))
-	if b.calls {
-		u.Under = b.under
-		u.Most = max(u.Most, b.under)
+	use.Most = int64(max(unit, math.Ceil((b.smoothDemand+margin)*unit)))
+	if b.countsCalls {
+		use.Under = b.inFlight
+		use.Most = max(use.Most, b.inFlight)
 	}
-	if b.told >= b.smooth*0.9 && b.told <= b.smooth*1.1 { // nothing has changed: what was given on top is kept
-		u.Most = -1
+	if b.reportedDemand >= b.smoothDemand*0.9 && b.reportedDemand <= b.smoothDemand*1.1 { // demand is steady: keep what was granted on top
+		use.Most = -1
 	}
-	b.told, b.soon = b.smooth, false
-	return u
+	b.reportedDemand, b.askSoon = b.smoothDemand, false
+	return use
 }
--- a/internal/limits/clock_linux.go
+++ b/internal/limits/clock_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// machineTime reads the clock that only runs on and that all processes of a machine share.
-func machineTime() time.Duration {
+// monotonicTime reads CLOCK_MONOTONIC, which all processes of a machine share. It returns 0 if that fails.
+func monotonicTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return 0
--- a/internal/limits/clock_other.go
+++ b/internal/limits/clock_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// machineTime is not known here: times in the log are since the process's start.
-func machineTime() time.Duration { return 0 }
+// monotonicTime returns 0: without a clock that processes share, times in the log count from the start of the process.
+func monotonicTime() time.Duration { return 0 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits is a process's side of limits that hold for the fleet: it asks for leases, four times a second and at once where its
-// use changes, and lets calls in by local buckets. docs/limits.md has the design.
+// Package limits enforces fleet-wide limits at one process: it requests leases, four times a second and at once when its demand changes, and
+// admits calls (client requests) by local token buckets and counters. docs/limits.md describes the design.
 package limits
 
 import (
@@ -13,108 +13,108 @@
 	"burlpass/internal/logging"
 )
 
-// Member is who is asked for leases: a member of the cluster.
+// Member is the member of the cluster that lease requests go to.
 type Member interface {
 	Lease(ctx context.Context, ask lease.Ask) (lease.Answer, error)
 }
 
-// Config of Limits.
+// Config holds the parameters of Limits.
 type Config struct {
 	Member Member
-	Name   string        // the process's; a number drawn at the start is added
-	Tail   time.Duration // the longest that a call may last which a limit of calls counts; 0: lease.MostTail
+	Name   string        // of the process; New appends a random number
+	Tail   time.Duration // the longest time that a call which a limit of kind Calls counts may last; 0: lease.MostTail
 	Log    *slog.Logger  // nil: none
 }
 
-// Limits are those of one process. They are safe for concurrent use, and refuse or let in by each limit's Cut until Run has had an answer.
+// Limits enforces the limits at one process. It is safe for concurrent use. Until Run has received an answer each limit's Cut applies.
 type Limits struct {
-	c     Config
-	log   *slog.Logger
-	debug bool
-	name  string
-	tail  time.Duration
-	base  time.Time     // of the clock that only runs on
-	shift time.Duration // of base, by the machine's own such clock
-
-	mu      sync.Mutex
-	holder  *lease.Holder
-	buckets map[string]*bucket
-	parked  map[string]*bucket // of no limit in force, with calls under way
-	sampled time.Duration
-	heard   time.Duration // the last answer's coming
-	cutOff  bool          // told in the log
+	config      Config
+	log         *slog.Logger
+	debug       bool
+	name        string
+	tail        time.Duration
+	clockBase   time.Time     // start of this process's monotonic times
+	clockOffset time.Duration // of clockBase, by the clock that all processes of the machine share
+
+	mu           sync.Mutex
+	holder       *lease.Holder
+	buckets      map[string]*bucket
+	draining     map[string]*bucket // of removed limits, with calls in flight
+	lastSample   time.Duration
+	lastAnswer   time.Duration // when the last answer arrived
+	cutOffLogged bool          // limits_cut_off was logged, limits_back not yet
 }
 
-// places is how many limits of calls one call can count by without an allocation.
-const places = 8
+// ticketSlots is the number of limits of kind Calls that can count one call without an allocation.
+const ticketSlots = 8
 
-// Ticket is a call that has been let in. Its zero value is one that no limit of calls counts.
+// Ticket stands for an admitted call. The zero value is a call that no limit of kind Calls counts.
 type Ticket struct {
-	n    int
-	at   [places]*bucket
-	more []*bucket
+	n        int
+	inline   [ticketSlots]*bucket
+	overflow []*bucket
 }
 
-// New returns limits without leases, for a process that starts now.
-func New(c Config) *Limits {
-	l := &Limits{c: c, log: c.Log, base: time.Now(), shift: machineTime(), buckets: map[string]*bucket{}, parked: map[string]*bucket{}}
+// New returns Limits without leases, for a process that starts now.
+func New(config Config) *Limits {
+	l := &Limits{config: config, log: config.Log, clockBase: time.Now(), clockOffset: monotonicTime(), buckets: map[string]*bucket{}, draining: map[string]*bucket{}}
 	if l.log == nil {
 		l.log = logging.Discard()
 	}
-	if l.tail = c.Tail; l.tail <= 0 {
+	if l.tail = config.Tail; l.tail <= 0 {
 		l.tail = lease.MostTail
 	}
 	l.debug = l.log.Enabled(context.Background(), slog.LevelDebug)
-	l.name = c.Name
-	if most := lease.MostName - 21; len(l.name) > most {
-		l.name = l.name[:most]
+	l.name = config.Name
+	if maxLength := lease.MostName - 21; len(l.name) > maxLength {
+		l.name = l.name[:maxLength]
 	}
-	l.name += "/" + strconv.FormatUint(drawn(), 36)
+	l.name += "/" + strconv.FormatUint(randomNumber(), 36)
 	l.holder = lease.NewHolder(l.name, l.tail)
 	l.tail = l.holder.Tail()
 	return l
 }
 
-// Holder is the name under which this process, since this start, asks for leases.
+// Holder returns the name in this process's lease requests; it differs at each start.
 func (l *Limits) Holder() string { return l.name }
 
-// Tail is the longest time that a call may be let in for by a limit of calls.
+// Tail returns the longest budget with which a limit of kind Calls admits a call.
 func (l *Limits) Tail() time.Duration { return l.tail }
 
-// clocks reads both clocks: the one that only runs on, since base, and the machine's.
-func (l *Limits) clocks() (at time.Time, now, wall time.Duration) {
+// readClocks reads both clocks: now is the monotonic time since clockBase, wall is the wall clock's.
+func (l *Limits) readClocks() (at time.Time, now, wall time.Duration) {
 	at = time.Now()
-	return at, at.Sub(l.base), time.Duration(at.UnixNano())
+	return at, at.Sub(l.clockBase), time.Duration(at.UnixNano())
 }
 
-// Set says which limits are in force at this process.
+// Set replaces the limits in force at this process.
 func (l *Limits) Set(limits []lease.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, now, wall := l.clocks()
+	at, now, wall := l.readClocks()
 	l.holder.Set(limits)
-	was := l.buckets
+	previous := l.buckets
 	l.buckets = make(map[string]*bucket, len(limits))
-	for _, x := range limits {
-		held := l.holder.Held(x.ID)
-		b := was[x.ID]
+	for _, limit := range limits {
+		held := l.holder.Held(limit.ID)
+		b := previous[limit.ID]
 		if b == nil {
-			b = l.parked[x.ID]
+			b = l.draining[limit.ID]
 		}
-		if b == nil || b.calls != (x.Kind == lease.Calls) {
-			b = newBucket(x.ID, x.Kind == lease.Calls)
+		if b == nil || b.countsCalls != (limit.Kind == lease.Calls) {
+			b = newBucket(limit.ID, limit.Kind == lease.Calls)
 		}
 		b.held = held
-		l.buckets[x.ID] = b
+		l.buckets[limit.ID] = b
 	}
-	for id, b := range was {
-		if l.buckets[id] != b && b.under > 0 {
-			l.parked[id] = b
+	for id, b := range previous {
+		if l.buckets[id] != b && b.inFlight > 0 {
+			l.draining[id] = b
 		}
 	}
-	for id, b := range l.parked {
-		if b.under == 0 || l.buckets[id] == b {
-			delete(l.parked, id)
+	for id, b := range l.draining {
+		if b.inFlight == 0 || l.buckets[id] == b {
+			delete(l.draining, id)
 		}
 	}
 	for _, b := range l.buckets {
@@ -122,13 +122,13 @@
 	}
 }
 
-// Take lets a call in by all of the limits, or by none: then wait is after how long it may be let in, 0 where that is never, for a
-// limit of calls counts none of a budget over Tail. The ids are each of another limit; one that is not in force counts for nothing. The budget is
-// how long the call may last.
-func (l *Limits) Take(ids []string, budget time.Duration) (t Ticket, wait time.Duration, ok bool) {
+// Take admits a call by all of the given limits or by none. If it is refused, wait is the time after which it may be admitted, or 0 if it
+// never is: limits of kind Calls refuse a budget longer than Tail. The ids must be distinct; those of limits not in force are ignored. The
+// budget is how long the call may last.
+func (l *Limits) Take(ids []string, budget time.Duration) (ticket Ticket, wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, now, wall := l.clocks()
+	at, now, wall := l.readClocks()
 	ok, never := true, false
 	for _, id := range ids {
 		b := l.buckets[id]
@@ -137,7 +137,7 @@
 		}
 		b.offered++
 		l.refresh(b, at, now, wall)
-		if b.calls && budget > l.tail {
+		if b.countsCalls && budget > l.tail {
 			never, ok = true, false
 		} else if w := b.wait(at); w > 0 {
 			wait, ok = max(wait, w), false
@@ -152,45 +152,45 @@
 		case b == nil:
 		case !ok:
 			b.refused++
-		case !b.calls:
+		case !b.countsCalls:
 			b.take(at)
 		default:
-			b.under++
-			b.peak = max(b.peak, b.under)
-			if t.n < places {
-				t.at[t.n] = b
-				t.n++
+			b.inFlight++
+			b.peakInFlight = max(b.peakInFlight, b.inFlight)
+			if ticket.n < ticketSlots {
+				ticket.inline[ticket.n] = b
+				ticket.n++
 			} else {
-				t.more = append(t.more, b)
+				ticket.overflow = append(ticket.overflow, b)
 			}
 		}
 	}
-	return t, wait, ok
+	return ticket, wait, ok
 }
 
-// Done says that a call has ended which was let in. It is called once for a ticket.
-func (l *Limits) Done(t Ticket) {
-	if t.n == 0 {
+// Done records the end of an admitted call. It must be called once for each ticket.
+func (l *Limits) Done(ticket Ticket) {
+	if ticket.n == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, b := range t.at[:t.n] {
-		b.under--
+	for _, b := range ticket.inline[:ticket.n] {
+		b.inFlight--
 	}
-	for _, b := range t.more {
-		b.under--
+	for _, b := range ticket.overflow {
+		b.inFlight--
 	}
 }
 
-// refresh brings what a bucket lets in to what is in force.
+// refresh applies the amount that is now in force to a bucket, and logs the end of its lease.
 func (l *Limits) refresh(b *bucket, at time.Time, now, wall time.Duration) {
-	amount, leased, open := b.held.Now(now, wall)
+	amount, leased, unlimited := b.held.Now(now, wall)
 	if b.leased && !leased && l.debug {
-		l.log.Debug("lease_ended", "limit", b.id, "holder", l.name, "at", (l.shift + now).Microseconds())
+		l.log.Debug("lease_ended", "limit", b.id, "holder", l.name, "at", (l.clockOffset + now).Microseconds())
 	}
 	b.leased = leased
-	if amount != b.amount || open != b.open {
-		b.set(at, amount, open)
+	if amount != b.amount || unlimited != b.unlimited {
+		b.setAmount(at, amount, unlimited)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -140,21 +140,21 @@
 	if got := letIn(l, "calls"); got != 3 {
 		t.Errorf("%d places are left, not 3", got)
 	}
-	l.base = l.base.Add(-time.Hour) // as if
+	l.clockBase = l.clockBase.Add(-time.Hour) // as if
 	b := l.buckets["rate"]
-	b.rate.SetBurst(10)
-	b.rate.AllowN(time.Now().Add(-10*time.Second), 0)
-	before := b.rate.TokensAt(time.Now())
+	b.limiter.SetBurst(10)
+	b.limiter.AllowN(time.Now().Add(-10*time.Second), 0)
+	before := b.limiter.TokensAt(time.Now())
 	var held []Ticket
 	for range 3 {
 		ticket, _, _ := l.Take([]string{"calls"}, 0)
 		held = append(held, ticket)
 	}
-	if _, _, ok := l.Take(both, 0); ok || b.rate.TokensAt(time.Now()) < before {
+	if _, _, ok := l.Take(both, 0); ok || b.limiter.TokensAt(time.Now()) < before {
 		t.Error("a refused call used up a token")
 	}
 	l.Done(held[0])
-	if n := l.buckets["calls"].under; n != 2 {
+	if n := l.buckets["calls"].inFlight; n != 2 {
 		t.Errorf("%d calls are under way, not 2", n)
 	}
 }
@@ -222,7 +222,7 @@
 		}()
 	}
 	done.Wait()
-	if most > 4 || all == 0 || l.buckets["c"].under != 0 {
-		t.Errorf("%d at once, %d in all, %d left", most, all, l.buckets["c"].under)
+	if most > 4 || all == 0 || l.buckets["c"].inFlight != 0 {
+		t.Errorf("%d at once, %d in all, %d left", most, all, l.buckets["c"].inFlight)
 	}
 }
--- a/internal/limits/run.go
+++ b/internal/limits/run.go
@@ -9,97 +9,99 @@
 )
 
 const (
-	every    = 250 * time.Millisecond // between questions
-	least    = 40 * time.Millisecond  // between questions, where one should not wait
-	tick     = 20 * time.Millisecond  // between looks at demand
-	within   = time.Second            // for an answer
-	firstGap = 50 * time.Millisecond  // after a question that failed
-	mostGap  = time.Second
-	leaving  = 500 * time.Millisecond // for giving back
+	askInterval    = 250 * time.Millisecond // between requests
+	minAskInterval = 40 * time.Millisecond  // between requests that are sent early
+	sampleInterval = 20 * time.Millisecond  // between samples of demand
+	askTimeout     = time.Second            // for the answer to one request
+	minRetryDelay  = 50 * time.Millisecond  // after the first failed request
+	maxRetryDelay  = time.Second
+	releaseTimeout = 500 * time.Millisecond // for returning all leases at the end
 )
 
-func drawn() uint64 { return rand.Uint64() }
+// randomNumber returns the number that distinguishes the starts of a process.
+func randomNumber() uint64 { return rand.Uint64() }
 
-// Run asks for leases until ctx ends, and then gives back what it has.
+// Run requests leases until ctx is done, and then returns them all.
 func (l *Limits) Run(ctx context.Context) {
-	t := time.NewTicker(tick)
-	defer t.Stop()
-	defer l.leave()
-	_, start, _ := l.clocks()
+	ticker := time.NewTicker(sampleInterval)
+	defer ticker.Stop()
+	defer l.releaseAll()
+	_, start, _ := l.readClocks()
 	l.mu.Lock()
-	l.heard = start
+	l.lastAnswer = start
 	l.mu.Unlock()
-	due, sent := start, start-least
-	failed := time.Duration(0) // the gap after the last question, where that failed
+	nextAsk, lastAsk := start, start-minAskInterval
+	retryDelay := time.Duration(0) // 0 unless the last request failed
 	first := true
 	for {
-		_, now, _ := l.clocks()
-		if now >= due || failed == 0 && now >= sent+least && l.hurries(now) {
-			sent = now
+		_, now, _ := l.readClocks()
+		if now >= nextAsk || retryDelay == 0 && now >= lastAsk+minAskInterval && l.shouldAskNow(now) {
+			lastAsk = now
 			if l.ask(ctx) {
-				failed, due = 0, sent+every
-				if first { // processes that start together do not ask together for ever
-					due, first = sent+time.Duration(rand.Int64N(int64(every))), false
+				retryDelay, nextAsk = 0, lastAsk+askInterval
+				if first { // a random phase, so that processes that start together do not always ask together
+					nextAsk, first = lastAsk+time.Duration(rand.Int64N(int64(askInterval))), false
 				}
 			} else {
-				_, now, _ = l.clocks()
-				failed = min(mostGap, max(firstGap, 2*failed))
-				due = now + failed/2 + time.Duration(rand.Int64N(int64(failed/2)))
+				_, now, _ = l.readClocks()
+				retryDelay = min(maxRetryDelay, max(minRetryDelay, 2*retryDelay))
+				nextAsk = now + retryDelay/2 + time.Duration(rand.Int64N(int64(retryDelay/2)))
 			}
-			l.told()
+			l.logCutOff()
 		}
 		select {
-		case <-t.C:
-			l.told()
+		case <-ticker.C:
+			l.logCutOff()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// hurries tells whether the next question should not wait.
-func (l *Limits) hurries(now time.Duration) bool {
+// shouldAskNow samples demand, and reports whether the next request should be sent early.
+func (l *Limits) shouldAskNow(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sample(now)
 	for _, b := range l.buckets {
-		if b.soon || b.moved() {
+		if b.askSoon || b.demandChanged() {
 			return true
 		}
 	}
 	return false
 }
 
+// sample updates the demand of all buckets, unless the last sample is very recent. The caller holds l.mu.
 func (l *Limits) sample(now time.Duration) {
-	if took := now - l.sampled; took >= tick/2 {
-		l.sampled = now
+	if elapsed := now - l.lastSample; elapsed >= sampleInterval/2 {
+		l.lastSample = now
 		for _, b := range l.buckets {
-			b.sample(took)
+			b.sample(elapsed)
 		}
 	}
 }
 
-// ask asks once, and takes the answer.
+// ask sends one request and applies the answer. It reports whether that succeeded.
 func (l *Limits) ask(ctx context.Context) bool {
 	l.mu.Lock()
-	at, now, wall := l.clocks()
+	at, now, wall := l.readClocks()
 	l.sample(now)
 	ask := l.holder.Ask(now, wall, func(h *lease.Held) lease.Use {
 		b := l.buckets[h.ID]
 		before := h.Leased()
-		u := b.use()
-		if u.Most >= 0 && u.Most < before && b.leased {
-			l.logLease(b, now, u.Most)
+		use := b.reportUse()
+		if use.Most >= 0 && use.Most < before && b.leased {
+			l.logLease(b, now, use.Most)
 		}
-		return u
+		return use
 	})
 	for _, b := range l.buckets {
 		l.refresh(b, at, now, wall)
 	}
 	l.mu.Unlock()
-	one, cancel := context.WithTimeout(ctx, within)
+	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	a, err := l.c.Member.Lease(one, ask)
+	answer, err := l.config.Member.Lease(askCtx, ask)
 	if err != nil {
 		if l.debug {
 			l.log.Debug("lease_failed", "fault", err)
@@ -108,23 +110,23 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.take(&a)
+	return l.applyAnswer(&answer)
 }
 
-// take takes an answer.
-func (l *Limits) take(a *lease.Answer) bool {
-	at, now, wall := l.clocks()
-	before := make(map[string]int64, len(a.Given))
-	for _, g := range a.Given {
+// applyAnswer applies an answer. It reports false if the answer is ignored. The caller holds l.mu.
+func (l *Limits) applyAnswer(answer *lease.Answer) bool {
+	at, now, wall := l.readClocks()
+	before := make(map[string]int64, len(answer.Given))
+	for _, g := range answer.Given {
 		if b := l.buckets[g.ID]; b != nil && b.leased {
 			before[g.ID] = b.held.Leased()
 		}
 	}
-	if !l.holder.Answer(a) {
+	if !l.holder.Answer(answer) {
 		return false
 	}
-	l.heard = now
-	for _, g := range a.Given {
+	l.lastAnswer = now
+	for _, g := range answer.Given {
 		b := l.buckets[g.ID]
 		if b == nil {
 			continue
@@ -133,56 +135,57 @@
 		if b.leased {
 			l.logLease(b, now, b.held.Leased())
 		}
-		b.soon = g.Short || g.Amount < before[g.ID]-before[g.ID]/20
+		b.askSoon = g.Short || g.Amount < before[g.ID]-before[g.ID]/20
 	}
 	return true
 }
 
+// logLease logs, at debug level, the amount that this process uses from now until its lease expires.
 func (l *Limits) logLease(b *bucket, now time.Duration, amount int64) {
 	if l.debug {
 		l.log.Debug("lease", "limit", b.id, "holder", l.name, "amount", amount,
-			"from", (l.shift + now).Microseconds(), "until", (l.shift + b.held.Until()).Microseconds())
+			"from", (l.clockOffset + now).Microseconds(), "until", (l.clockOffset + b.held.Until()).Microseconds())
 	}
 }
 
-// told logs the begin and the end of being cut off.
-func (l *Limits) told() {
+// logCutOff logs when this process is cut off from the leader, and when it is back.
+func (l *Limits) logCutOff() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, now, wall := l.clocks()
-	silence := now - l.heard
+	at, now, wall := l.readClocks()
+	silence := now - l.lastAnswer
 	switch {
-	case !l.cutOff && silence >= lease.Length && len(l.buckets) > 0:
-		l.cutOff = true
+	case !l.cutOffLogged && silence >= lease.Length && len(l.buckets) > 0:
+		l.cutOffLogged = true
 		l.log.Warn("limits_cut_off", "holder", l.name, "silence", silence.Round(time.Millisecond), "limits", len(l.buckets))
-	case l.cutOff && silence < lease.Length:
-		l.cutOff = false
+	case l.cutOffLogged && silence < lease.Length:
+		l.cutOffLogged = false
 		l.log.Info("limits_back", "holder", l.name, "limits", len(l.buckets))
 	}
-	if l.debug { // so that lease_ended comes though no call does
+	if l.debug { // logs lease_ended even if no call comes
 		for _, b := range l.buckets {
 			l.refresh(b, at, now, wall)
 		}
 	}
 }
 
-// leave gives back what is held.
-func (l *Limits) leave() {
+// releaseAll returns all leases.
+func (l *Limits) releaseAll() {
 	l.mu.Lock()
-	at, now, wall := l.clocks()
+	at, now, wall := l.readClocks()
 	ask := l.holder.Leave(now, wall, func(h *lease.Held) lease.Use {
-		return lease.Use{Under: l.buckets[h.ID].under, Most: 0}
+		return lease.Use{Under: l.buckets[h.ID].inFlight, Most: 0}
 	})
 	for _, b := range l.buckets {
 		l.refresh(b, at, now, wall)
 	}
 	l.mu.Unlock()
 	if ask.Epoch == 0 {
-		return // nothing was ever had
+		return // no lease was ever granted
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaving)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if _, err := l.c.Member.Lease(ctx, ask); err != nil && l.debug {
+	if _, err := l.config.Member.Lease(ctx, ask); err != nil && l.debug {
 		l.log.Debug("lease_failed", "fault", err)
 	}
 }
