--- a/internal/usage/counts.go
+++ b/internal/usage/counts.go
@@ -1,5 +1,5 @@
-// Package usage counts at one process which callers use versions that end, and reports it to the record now and then. docs/retire.md has
-// the design.
+// Package usage counts at one process the calls (client requests) of API versions that are being retired, by caller, and periodically reports
+// the counts to the record, the cluster's replicated state. docs/retire.md describes the design.
 package usage
 
 import (
@@ -12,27 +12,28 @@
 	"burlpass/internal/retire"
 )
 
-// Line counts the calls of one timeline. It is safe for any number of goroutines.
+// Line counts the calls of one timeline, by caller. It is safe for concurrent use.
 type Line struct {
-	named  atomic.Pointer[map[string]*Counts] // replaced when a caller is new
-	mu     sync.Mutex                         // for replacing it
-	others Counts
+	callers atomic.Pointer[map[string]*Counts] // copied and replaced for each new caller
+	mu      sync.Mutex                         // held while callers is replaced
+	others  Counts
 }
 
-// Counts are those of one caller. They only rise.
+// Counts holds the counters of one caller. They only rise.
 type Counts struct {
 	calls, warned, shed, worth, next, failed atomic.Int64
-	_                                        [16]byte // two callers do not share a cache line
+	_                                        [16]byte // padding: two callers do not share a cache line
 }
 
-// Of gives the place in which a caller is counted: its own, for the first ones, or that of all others. It allocates for a new caller only.
+// Of returns the counters of a caller: its own for the first retire.MaxCallers callers with a valid name, the common ones for all others.
+// It allocates only for a new caller.
 func (l *Line) Of(caller string) *Counts {
-	named := l.named.Load()
-	if named != nil {
-		if c := (*named)[caller]; c != nil {
+	callers := l.callers.Load()
+	if callers != nil {
+		if c := (*callers)[caller]; c != nil {
 			return c
 		}
-		if len(*named) >= retire.MaxCallers {
+		if len(*callers) >= retire.MaxCallers {
 			return &l.others
 		}
 	}
@@ -41,35 +42,35 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := map[string]*Counts{}
-	if named = l.named.Load(); named != nil {
-		if c := (*named)[caller]; c != nil {
+	updated := map[string]*Counts{}
+	if callers = l.callers.Load(); callers != nil {
+		if c := (*callers)[caller]; c != nil {
 			return c
 		}
-		if len(*named) >= retire.MaxCallers {
+		if len(*callers) >= retire.MaxCallers {
 			return &l.others
 		}
-		all = maps.Clone(*named)
+		updated = maps.Clone(*callers)
 	}
 	c := &Counts{}
-	all[strings.Clone(caller)] = c // a call's texts are parts of larger ones
-	l.named.Store(&all)
+	updated[strings.Clone(caller)] = c // a call's strings are parts of larger ones, which would stay in memory
+	l.callers.Store(&updated)
 	return c
 }
 
-// Called counts a call of the version, before anything else that becomes of it.
+// Called counts a call of the version, before its outcome is counted.
 func (c *Counts) Called() { c.calls.Add(1) }
 
-// Warned counts an answer that said that the version ends, and was written whole.
+// Warned counts a response that announced the end of the version and was written in full.
 func (c *Counts) Warned() { c.warned.Add(1) }
 
-// Shed counts a call that is refused for now.
+// Shed counts a call that is temporarily refused, and its worth.
 func (c *Counts) Shed(worth int64) {
 	c.shed.Add(1)
 	c.worth.Add(worth)
 }
 
-// Next counts a call of the successor.
+// Next counts a call of the successor version.
 func (c *Counts) Next(failed bool) {
 	c.next.Add(1)
 	if failed {
@@ -77,21 +78,21 @@
 	}
 }
 
-// read gives the counts. What is a part of another one is read before it.
-func (c *Counts) read(caller string) retire.Count {
+// snapshot reads the counters. A counter that is part of another one is read first, so that it never exceeds it.
+func (c *Counts) snapshot(caller string) retire.Count {
 	out := retire.Count{Caller: caller, Warned: c.warned.Load(), Worth: c.worth.Load(), Shed: c.shed.Load(), Failed: c.failed.Load()}
 	out.Calls, out.Next = c.calls.Load(), c.next.Load()
 	return out
 }
 
-// read gives all counts, without stamps.
-func (l *Line) read() retire.Use {
-	var u retire.Use
-	if named := l.named.Load(); named != nil {
-		for _, caller := range slices.Sorted(maps.Keys(*named)) {
-			u.Callers = append(u.Callers, (*named)[caller].read(caller))
+// snapshot reads the counters of all callers, without timestamps.
+func (l *Line) snapshot() retire.Use {
+	var use retire.Use
+	if callers := l.callers.Load(); callers != nil {
+		for _, caller := range slices.Sorted(maps.Keys(*callers)) {
+			use.Callers = append(use.Callers, (*callers)[caller].snapshot(caller))
 		}
 	}
-	u.Others = l.others.read("")
-	return u
+	use.Others = l.others.snapshot("")
+	return use
 }
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -8,115 +8,118 @@
 	"burlpass/internal/retire"
 )
 
-// Stamps are written this much ahead of the record's time as seen here, which may be older than the record's own.
+// Times of reports.
 const (
-	aheadMs = retire.UseLeadMs / 2
-	renewMs = retire.QuietMs / 4 // counts that have not changed are written again, so that they are not taken for a dead process's
+	stampLeadMs = retire.UseLeadMs / 2 // timestamps are ahead of the record's time as seen here, which may be behind the record's own
+	refreshMs   = retire.QuietMs / 4   // unchanged counts are reported again after this time, so that the process is not considered dead
 )
 
-// report is what one process has told the record of one timeline. It is for one goroutine.
-type report struct {
-	key     string         // of the timeline
-	born    int64          // the incarnation's number; 0: none yet
-	base    retire.Use     // counted before this incarnation
-	agreed  retire.Use     // what the record has
-	at      record.Version // since this version
-	pending *record.Write  // of which nobody knows yet whether it was taken; asked again as it is
-	sent    retire.Use     // what is pending, or else agreed
+// timelineReport tracks what this process has reported of one timeline. It is not safe for concurrent use.
+type timelineReport struct {
+	key         string         // of the timeline
+	incarnation int64          // number that the current item in the record is keyed by; 0: there is no item yet
+	previous    retire.Use     // counts that earlier incarnations have reported
+	committed   retire.Use     // counts of this incarnation in the record
+	committedAt record.Version // record version of the last applied write
+	pending     *record.Write  // write with an unknown outcome; sent again unchanged
+	sent        retire.Use     // counts in pending, or else committed
 }
 
-// next gives the write of a report that is to be sent now, nil for none. Its id is to be set where it has none. counts are all that was
+// nextWrite returns the write to send now, or nil if there is none. The caller sets its id if it has none. counts holds everything that was
 // ever counted here.
-func (r *report) next(v record.View, process string, counts retire.Use) (*record.Write, error) {
+func (r *timelineReport) nextWrite(view record.View, process string, counts retire.Use) (*record.Write, error) {
 	if r.pending != nil {
 		return r.pending, nil
 	}
-	now := v.TimeMs()
+	now := view.TimeMs()
 	if now == 0 {
 		return nil, nil
 	}
-	u := less(counts, r.base)
-	u.SeenMs = now + aheadMs
-	r.stamp(&u)
-	if r.born != 0 && equal(u, r.agreed) && u.SeenMs < r.agreed.SeenMs+renewMs {
+	use := subtractUse(counts, r.previous)
+	use.SeenMs = now + stampLeadMs
+	r.stampWarnings(&use)
+	if r.incarnation != 0 && sameCounts(use, r.committed) && use.SeenMs < r.committed.SeenMs+refreshMs {
 		return nil, nil
 	}
-	if r.born == 0 {
-		r.born = now + aheadMs/2 + rand.Int64N(aheadMs/2)
+	if r.incarnation == 0 {
+		r.incarnation = now + stampLeadMs/2 + rand.Int64N(stampLeadMs/2)
 	}
-	w, err := retire.Report(process, retire.UseKey(r.key, process, r.born), u)
+	w, err := retire.Report(process, retire.UseKey(r.key, process, r.incarnation), use)
 	if err != nil {
 		return nil, err
 	}
-	w.Base = max(v.Version(), r.at)
-	r.pending, r.sent = w, u
+	w.Base = max(view.Version(), r.committedAt)
+	r.pending, r.sent = w, use
 	return w, nil
 }
 
-// told takes what became of the pending write. It tells whether something was wrong.
-func (r *report) told(res record.Result, there bool) (fault bool) {
+// handleResult applies the result of the pending write; found tells whether the record still has this incarnation's item. It reports whether
+// the write failed.
+func (r *timelineReport) handleResult(result record.Result, found bool) (fault bool) {
 	r.pending = nil
-	switch res.Outcome {
+	switch result.Outcome {
 	case record.Applied:
-		r.agreed, r.at = r.sent, res.Version
+		r.committed, r.committedAt = r.sent, result.Version
 		return false
 	case record.Invalid:
-		if r.at == 0 { // nothing of this incarnation was ever taken
-			r.born = 0
+		if r.committedAt == 0 { // no write of this incarnation was ever applied
+			r.incarnation = 0
 			return true
 		}
-		if there { // it was too old when it came
+		if found { // the write was too old when it arrived
 			return true
 		}
 	}
-	// The incarnation is not there any more: what the record had of it is folded. Where nobody can tell whether this write was taken, all that
-	// was sent may be counted.
-	if res.Outcome != record.Forgotten {
-		r.sent = r.agreed
+	// The incarnation's item is gone: its counts were folded into the totals. If nobody knows whether this write was applied, everything that
+	// was sent may have been counted: assume so, as the totals must never exceed what was counted.
+	if result.Outcome != record.Forgotten {
+		r.sent = r.committed
 	}
-	r.base = more(r.base, r.sent)
-	r.born, r.at, r.agreed, r.sent = 0, 0, retire.Use{}, retire.Use{}
+	r.previous = addUse(r.previous, r.sent)
+	r.incarnation, r.committedAt, r.committed, r.sent = 0, 0, retire.Use{}, retire.Use{}
 	return true
 }
 
-// stamp gives first warnings their time: as it was told, or now.
-func (r *report) stamp(u *retire.Use) {
-	one := func(c *retire.Count, was retire.Count) {
+// stampWarnings sets the time of each caller's first warning: the time reported earlier, or now.
+func (r *timelineReport) stampWarnings(use *retire.Use) {
+	stampCount := func(c *retire.Count, committed retire.Count) {
 		switch {
-		case was.Warned > 0:
-			c.FirstMs = was.FirstMs
+		case committed.Warned > 0:
+			c.FirstMs = committed.FirstMs
 		case c.Warned > 0:
-			c.FirstMs = u.SeenMs
+			c.FirstMs = use.SeenMs
 		}
 	}
-	for i := range u.Callers {
-		one(&u.Callers[i], r.agreed.Of(u.Callers[i].Caller))
+	for i := range use.Callers {
+		stampCount(&use.Callers[i], r.committed.Of(use.Callers[i].Caller))
 	}
-	one(&u.Others, r.agreed.Others)
+	stampCount(&use.Others, r.committed.Others)
 }
 
-// less takes off what was counted before. Warnings and refusals whose calls were counted before are left out.
-func less(u, base retire.Use) retire.Use {
-	one := func(c, b retire.Count) retire.Count {
+// subtractUse subtracts the counts that were reported before. Warnings and refusals whose calls were reported before are left out.
+func subtractUse(use, base retire.Use) retire.Use {
+	subtractCount := func(c, b retire.Count) retire.Count {
 		c.Calls, c.Next, c.Worth = c.Calls-b.Calls, c.Next-b.Next, c.Worth-b.Worth
 		c.Shed = min(c.Shed-b.Shed, c.Calls)
 		c.Warned = min(c.Warned-b.Warned, c.Calls-c.Shed)
 		c.Failed = min(c.Failed-b.Failed, c.Next)
 		return c
 	}
-	out := retire.Use{Others: one(u.Others, base.Others)}
-	for _, c := range u.Callers {
-		if c = one(c, base.Of(c.Caller)); c.Calls > 0 || c.Next > 0 {
-			out.Callers = append(out.Callers, c)
+	difference := retire.Use{Others: subtractCount(use.Others, base.Others)}
+	for _, c := range use.Callers {
+		if c = subtractCount(c, base.Of(c.Caller)); c.Calls > 0 || c.Next > 0 {
+			difference.Callers = append(difference.Callers, c)
 		}
 	}
-	return out
+	return difference
 }
 
-// more adds what an incarnation has told to what was counted before it.
-func more(base, u retire.Use) retire.Use {
-	return retire.Merge([]*retire.Use{&base, &u})
+// addUse adds the counts of an incarnation to those of earlier ones.
+func addUse(base, use retire.Use) retire.Use {
+	return retire.Merge([]*retire.Use{&base, &use})
 }
 
-// equal tells whether two reports count the same.
-func equal(a, b retire.Use) bool { return slices.Equal(a.Callers, b.Callers) && a.Others == b.Others }
+// sameCounts reports whether two reports hold the same counts.
+func sameCounts(a, b retire.Use) bool {
+	return slices.Equal(a.Callers, b.Callers) && a.Others == b.Others
+}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -14,34 +14,34 @@
 	"burlpass/internal/retire"
 )
 
-// Member is this process's part in the cluster. An error of Write leaves open whether it was taken.
+// Member is this process's member of the cluster. If Write returns an error, the write may or may not have been applied.
 type Member interface {
 	Write(ctx context.Context, w *record.Write) (record.Result, error)
-	Replica() *replica.Replica // nil while there is no state to show
+	Replica() *replica.Replica // nil while the member has no state to show
 }
 
 // DefaultEvery is the time between two reports.
 const DefaultEvery = 10 * time.Second
 
 const (
-	writeTime = 3 * time.Second        // for one report
-	lastTime  = 300 * time.Millisecond // for all reports at the end
+	writeTimeout       = 3 * time.Second        // for one report
+	finalReportTimeout = 300 * time.Millisecond // for all final reports
 )
 
-// Config is what a Reporter is made of.
+// Config holds the parameters of a Reporter.
 type Config struct {
 	Member  Member
-	Process string        // its name, up to 64 bytes
-	Every   time.Duration // a tenth more or less; 0: DefaultEvery
+	Process string        // name of the process, up to 64 bytes
+	Every   time.Duration // interval, varied by a tenth; 0: DefaultEvery
 	Log     *slog.Logger
 }
 
-// Reporter has the counts of all timelines, and tells them to the record.
+// Reporter holds the counts of all timelines, and reports them to the record.
 type Reporter struct {
 	Config
-	mu    sync.Mutex
-	lines map[string]*Line // by the timeline's key
-	told  map[string]*report
+	mu        sync.Mutex
+	timelines map[string]*Line // by the timeline's key
+	reports   map[string]*timelineReport
 }
 
 // New returns a Reporter without counts.
@@ -49,22 +49,22 @@
 	if c.Every <= 0 {
 		c.Every = DefaultEvery
 	}
-	return &Reporter{Config: c, lines: map[string]*Line{}, told: map[string]*report{}}
+	return &Reporter{Config: c, timelines: map[string]*Line{}, reports: map[string]*timelineReport{}}
 }
 
-// Line gives the counts of a timeline. It is for when the table changes, not for each call.
+// Line returns the counts of a timeline. It takes a lock: call it when the table changes, not for each call.
 func (r *Reporter) Line(timeline string) *Line {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.lines[timeline]
+	l := r.timelines[timeline]
 	if l == nil {
 		l = &Line{}
-		r.lines[timeline] = l
+		r.timelines[timeline] = l
 	}
 	return l
 }
 
-// Run reports until ctx is done, and once more then.
+// Run reports periodically until ctx is done, and then once more.
 func (r *Reporter) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := r.Every*9/10 + mathrand.N(r.Every/5+1)
@@ -74,48 +74,49 @@
 		case <-ctx.Done():
 		}
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastTime)
+	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalReportTimeout)
 	defer cancel()
 	r.Report(last)
 }
 
-// Report tells the record now. It is for one goroutine at a time.
+// Report writes the counts to the record now. It must not be called concurrently.
 func (r *Reporter) Report(ctx context.Context) {
-	shown := r.Member.Replica()
-	if shown == nil {
+	local := r.Member.Replica()
+	if local == nil {
 		return
 	}
 	r.mu.Lock()
-	lines := maps.Clone(r.lines) // before the state: one that is not in force there is gone, and not yet to come
+	lines := maps.Clone(r.timelines) // cloned before the state is read: a timeline missing there has ended, and is not one still to come
 	r.mu.Unlock()
-	v := shown.View()
-	if !record.Knows(v, retire.UseKind) {
+	view := local.View()
+	if !record.Knows(view, retire.UseKind) {
 		return
 	}
 	for key, l := range lines {
-		if !retire.InForce(v, key) {
+		if !retire.InForce(view, key) {
 			r.forget(key)
 			continue
 		}
-		if r.told[key] == nil {
-			r.told[key] = &report{key: key}
+		if r.reports[key] == nil {
+			r.reports[key] = &timelineReport{key: key}
 		}
-		r.one(ctx, v, r.told[key], l)
+		r.reportTimeline(ctx, view, r.reports[key], l)
 	}
 }
 
-// forget drops the counts of a timeline that is gone: should it come again, it begins anew.
+// forget drops the counts of a timeline that is gone. If it returns, counting starts again at 0.
 func (r *Reporter) forget(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.lines, key)
-	delete(r.told, key)
+	delete(r.timelines, key)
+	delete(r.reports, key)
 }
 
-func (r *Reporter) one(ctx context.Context, v record.View, told *report, l *Line) {
-	w, err := told.next(v, r.Process, l.read())
+// reportTimeline writes the counts of one timeline, if there is anything new to report.
+func (r *Reporter) reportTimeline(ctx context.Context, view record.View, report *timelineReport, l *Line) {
+	w, err := report.nextWrite(view, r.Process, l.snapshot())
 	if err != nil {
-		r.Log.Error("use_refused", "timeline", told.key, "err", err)
+		r.Log.Error("use_refused", "timeline", report.key, "err", err)
 		return
 	}
 	if w == nil {
@@ -124,14 +125,14 @@
 	if w.ID == "" {
 		w.ID = rand.Text()
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	res, err := r.Member.Write(ctx, w)
+	result, err := r.Member.Write(ctx, w)
 	if err != nil {
-		return // asked again under the same id
+		return // sent again later under the same id
 	}
-	_, there := r.Member.Replica().View().Get(retire.UseKind, w.Changes[0].Key)
-	if told.told(res, there) {
-		r.Log.Warn("use_refused", "timeline", told.key, "outcome", res.Outcome, "reason", res.Reason)
+	_, found := r.Member.Replica().View().Get(retire.UseKind, w.Changes[0].Key)
+	if report.handleResult(result, found) {
+		r.Log.Warn("use_refused", "timeline", report.key, "outcome", result.Outcome, "reason", result.Reason)
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -124,7 +124,7 @@
 					}
 				}
 			}
-			all, got := r.Line(key).read(), sums()
+			all, got := r.Line(key).snapshot(), sums()
 			for _, c := range append(all.Callers, all.Others) {
 				have := got.Others
 				if c.Caller != "" {
@@ -141,7 +141,7 @@
 			p.clock(now)
 			r.Report(t.Context())
 		}
-		l := r.Line(key).read()
+		l := r.Line(key).snapshot()
 		if got, want := sums(), l; !open && got.Total().Calls != want.Total().Calls {
 			t.Fatalf("%+v, not %+v", got, want)
 		}
@@ -159,7 +159,7 @@
 		})
 	}
 	all.Wait()
-	u := l.read()
+	u := l.snapshot()
 	if total := u.Total(); len(u.Callers) != retire.MaxCallers || total.Calls != 8000 {
 		t.Fatalf("%d callers, %d calls", len(u.Callers), total.Calls)
 	}
