--- a/internal/orders/keeper.go
+++ b/internal/orders/keeper.go
@@ -17,66 +17,67 @@
 	"burlpass/internal/record"
 )
 
-// Where an order holds, as the door's answer says it.
+// Scopes of an order, as the admin listener reports them.
 const (
-	Here       = "here"       // at this process, which goes on trying to have it agreed on
-	Everywhere = "everywhere" // a majority of voters has it on disk: every member that hears from them follows it
+	Here       = "here"       // in force at this process, which keeps trying to have it committed
+	Everywhere = "everywhere" // a majority of voters has it on disk, and every member that is connected to them applies it
 )
 
 const (
-	tryTime    = 2 * time.Second // for one try in the background
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 5 * time.Second
-	newBases   = 8 // tries with a new base in a row, before the order waits for the next round
+	tryTimeout     = 2 * time.Second // for one attempt in the background
+	minRetryDelay  = 200 * time.Millisecond
+	maxRetryDelay  = 5 * time.Second
+	maxBaseChanges = 8 // attempts in a row after which the order waits for the next retry, if each needs a new base version
 )
 
-// Member is this process's part in the cluster, as the cluster's api has it: an error of Write leaves open whether it was
-// taken, and asking again under the same id is harmless.
+// Member is this process's member of the cluster. If Write returns an error, the write may or may not have been applied; sending it again
+// under the same id is harmless.
 type Member interface {
 	Write(ctx context.Context, w *record.Write) (record.Result, error)
-	Replica() *replica.Replica // nil while there is no state to show
+	Replica() *replica.Replica // nil while the member has no state to show
 }
 
-// Config is what a Keeper is made of.
+// Config holds the parameters of a Keeper.
 type Config struct {
 	Member Member
-	By     string                               // who orders, in the record: this process's door
-	Start  maintenance.Set                      // in force before there is a record to read
-	Apply  func(maintenance.Set)                // makes it hold here; called in order, one at a time
-	Load   func() ([]byte, error)               // the pending orders of an earlier process; os.ErrNotExist where there are none
-	Save   func([]byte) error                   // keeps them
+	By     string                               // author of the orders in the record: this process's admin listener
+	Start  maintenance.Set                      // what is in force before there is a record to read
+	Apply  func(maintenance.Set)                // puts a set into force here; called one at a time, in order
+	Load   func() ([]byte, error)               // reads the pending orders of an earlier process; os.ErrNotExist if there are none
+	Save   func([]byte) error                   // stores the pending orders
 	Wait   func(time.Duration) <-chan time.Time // nil: time.After
 	Log    *slog.Logger
 }
 
-// Keeper gives orders to the record and takes them from it.
+// Keeper writes orders to the record, the cluster's replicated state, and applies those in it to this process.
 type Keeper struct {
 	Config
-	kick chan struct{} // a pending order needs the background
+	wake chan struct{} // wakes Run for a new pending order
 
-	mu      sync.Mutex
-	waiting []*pending
-	applied []byte // the set last applied, encoded
-	kept    []byte // the pending orders as last saved
+	mu          sync.Mutex
+	pending     []*pendingOrder
+	lastApplied []byte // the set last applied, encoded
+	lastSaved   []byte // the pending orders last saved, encoded
 }
 
-// New takes up what an earlier process left. Orders in force from before there was a cluster become orders to it.
+// New returns a Keeper with the pending orders of an earlier process. If there is no file of them, the orders in Start, given before there was a
+// cluster, become pending.
 func New(c Config) *Keeper {
-	k := &Keeper{Config: c, kick: make(chan struct{}, 1)}
+	k := &Keeper{Config: c, wake: make(chan struct{}, 1)}
 	if k.Wait == nil {
 		k.Wait = time.After
 	}
 	b, err := k.Load()
 	if err == nil {
-		k.waiting, err = decode(b)
+		k.pending, err = decode(b)
 	}
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		for _, id := range c.Start.IDs() {
-			k.waiting = append(k.waiting, fresh(Worker(id), true))
+			k.pending = append(k.pending, newOrder(Worker(id), true))
 		}
 		for _, name := range c.Start.Halls() {
-			k.waiting = append(k.waiting, fresh(Hall(name), true))
+			k.pending = append(k.pending, newOrder(Hall(name), true))
 		}
 	case err != nil:
 		k.Log.Error("orders_ignored", "err", err)
@@ -87,88 +88,92 @@
 	return k
 }
 
-func fresh(to Target, out bool) *pending { return &pending{Target: to, Out: out, ID: rand.Text()} }
+// newOrder returns a pending order with a random id.
+func newOrder(target Target, disabled bool) *pendingOrder {
+	return &pendingOrder{Target: target, Disabled: disabled, ID: rand.Text()}
+}
 
-// Order takes a worker or hall out, or puts it back: here at once, and at all members if that can be had within ctx. It returns
-// where the order holds. One that is not agreed on in time is tried on until it is, also by the next process.
-func (k *Keeper) Order(ctx context.Context, to Target, out bool) string {
-	p := fresh(to, out)
+// Order disables or enables a worker or a zone: here at once, and at all members if the order is committed before ctx ends. It returns where the
+// order is in force, Here or Everywhere. An order that is not committed in time is retried until it is, also by the next process.
+func (k *Keeper) Order(ctx context.Context, target Target, disabled bool) string {
+	p := newOrder(target, disabled)
 	k.mu.Lock()
-	if view := k.view(); view != nil {
+	if view := k.currentView(); view != nil {
 		p.Base = view.Version()
 	}
-	// The last order counts; should the one before it be agreed on after all, this one is stale then, and tried anew.
-	k.waiting = append(slices.DeleteFunc(k.waiting, func(old *pending) bool { return old.Target == to }), p)
+	// The last order for a target wins. If the order before it is committed after all, this one becomes stale and is retried on the new base.
+	k.pending = append(slices.DeleteFunc(k.pending, func(old *pendingOrder) bool { return old.Target == target }), p)
 	k.applyLocked()
 	k.mu.Unlock()
-	if k.settle(ctx, p) {
+	if k.commit(ctx, p) {
 		return Everywhere
 	}
 	select {
-	case k.kick <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 	return Here
 }
 
-func (k *Keeper) find(to Target) *pending {
-	for _, p := range k.waiting {
-		if p.Target == to {
+// findPending returns the pending order for a target, or nil if there is none.
+func (k *Keeper) findPending(target Target) *pendingOrder {
+	for _, p := range k.pending {
+		if p.Target == target {
 			return p
 		}
 	}
 	return nil
 }
 
-// view is the record as shown here, nil where there is none.
-func (k *Keeper) view() record.View {
+// currentView returns the record as this member has it, or nil if it has none.
+func (k *Keeper) currentView() record.View {
 	if r := k.Member.Replica(); r != nil {
 		return r.View()
 	}
 	return nil
 }
 
-// applyLocked makes what is in force now hold here, and keeps what is pending.
+// applyLocked applies the set that is now in force, and saves the pending orders, where either has changed.
 func (k *Keeper) applyLocked() {
-	view := k.view()
-	k.waiting = shown(view, k.waiting)
-	out := effective(view, k.Start, k.waiting)
-	if b := out.Encode(); !bytes.Equal(b, k.applied) {
-		k.applied = b
-		k.Apply(out)
+	view := k.currentView()
+	k.pending = withoutShown(view, k.pending)
+	inForce := effectiveSet(view, k.Start, k.pending)
+	if b := inForce.Encode(); !bytes.Equal(b, k.lastApplied) {
+		k.lastApplied = b
+		k.Apply(inForce)
 	}
-	if b := encode(k.waiting); !bytes.Equal(b, k.kept) {
-		if k.kept = b; k.Save(b) != nil {
-			k.Log.Error("orders_not_kept", "orders", len(k.waiting))
+	if b := encode(k.pending); !bytes.Equal(b, k.lastSaved) {
+		if k.lastSaved = b; k.Save(b) != nil {
+			k.Log.Error("orders_not_kept", "orders", len(k.pending))
 		}
 	}
 }
 
-// settle tries to have an order agreed on, and tells whether it is.
-func (k *Keeper) settle(ctx context.Context, p *pending) bool {
-	for range newBases {
+// commit tries to have an order committed to the record. It reports whether it is.
+func (k *Keeper) commit(ctx context.Context, p *pendingOrder) bool {
+	for range maxBaseChanges {
 		k.mu.Lock()
-		current, done := k.find(p.Target) == p, p.settled != 0
-		w := p.write(k.By)
+		current, done := k.findPending(p.Target) == p, p.committed != 0
+		w := p.toWrite(k.By)
 		k.mu.Unlock()
 		if !current || done {
 			return done
 		}
-		r, err := k.Member.Write(ctx, w)
+		result, err := k.Member.Write(ctx, w)
 		k.mu.Lock()
 		switch {
-		case p.ID != w.ID || err != nil: // another try has changed it meanwhile; or nobody can tell: the same again later
-		case r.Outcome == record.Applied:
-			p.settled = r.Version
+		case p.ID != w.ID || err != nil: // changed by another attempt, or the outcome is unknown: sent again later
+		case result.Outcome == record.Applied:
+			p.committed = result.Version
 			k.applyLocked()
-		case r.Outcome == record.Stale, r.Outcome == record.Forgotten: // an order counts whatever was there before it
-			p.ID, p.Base = rand.Text(), r.Version
+		case result.Outcome == record.Stale, result.Outcome == record.Forgotten: // an order applies whatever the record held before it
+			p.ID, p.Base = rand.Text(), result.Version
 		default:
-			p.refused = true
-			k.Log.Error("order_refused", "target", string(p.Target), "reason", r.Reason)
+			p.rejected = true
+			k.Log.Error("order_refused", "target", string(p.Target), "reason", result.Reason)
 		}
-		done = p.settled != 0
-		stop := done || p.refused || err != nil
+		done = p.committed != 0
+		stop := done || p.rejected || err != nil
 		k.mu.Unlock()
 		if stop {
 			return done
@@ -177,52 +182,52 @@
 	return false
 }
 
-// Run follows the record and tries pending orders until ctx is done.
+// Run applies changes of the record and retries pending orders until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
-	pause := retryLeast
-	var retry <-chan time.Time // runs on while the record changes
+	delay := minRetryDelay
+	var retry <-chan time.Time // is not reset when the record changes
 	for ctx.Err() == nil {
 		var changed, poll = k.changed()
 		k.mu.Lock()
 		k.applyLocked()
-		next := k.nextLocked()
+		next := k.nextPendingLocked()
 		k.mu.Unlock()
 		if next == nil {
 			retry = nil
-		} else if retry == nil { // full jitter: all processes see a majority come back at once
-			retry = k.Wait(pause/4 + time.Duration(mathrand.Float64()*float64(pause)))
+		} else if retry == nil { // with jitter, as all processes notice at once that a majority is back
+			retry = k.Wait(delay/4 + time.Duration(mathrand.Float64()*float64(delay)))
 		}
 		select {
 		case <-ctx.Done():
 		case <-changed:
 		case <-poll:
-		case <-k.kick:
-			pause, retry = retryLeast, nil
+		case <-k.wake:
+			delay, retry = minRetryDelay, nil
 		case <-retry:
 			retry = nil
-			try, cancel := context.WithTimeout(ctx, tryTime)
-			if k.settle(try, next) {
-				pause = retryLeast
+			try, cancel := context.WithTimeout(ctx, tryTimeout)
+			if k.commit(try, next) {
+				delay = minRetryDelay
 			} else {
-				pause = min(2*pause, retryMost)
+				delay = min(2*delay, maxRetryDelay)
 			}
 			cancel()
 		}
 	}
 }
 
-// changed gives what tells of the record's next state, or, while there is none at all, of the time to look again.
+// changed returns a channel that signals the record's next state, or, while there is no record, one that signals when to look again.
 func (k *Keeper) changed() (<-chan struct{}, <-chan time.Time) {
 	if r := k.Member.Replica(); r != nil {
 		return r.Changed(), nil
 	}
-	return nil, k.Wait(retryLeast)
+	return nil, k.Wait(minRetryDelay)
 }
 
-// nextLocked is a pending order that is to be tried again, nil where there is none.
-func (k *Keeper) nextLocked() *pending {
-	for _, p := range k.waiting {
-		if p.settled == 0 && !p.refused {
+// nextPendingLocked returns the first pending order to retry, or nil if there is none.
+func (k *Keeper) nextPendingLocked() *pendingOrder {
+	for _, p := range k.pending {
+		if p.committed == 0 && !p.rejected {
 			return p
 		}
 	}
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -149,7 +149,7 @@
 	for end := time.Now().Add(20 * time.Second); a.left() > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	item, _ := m.r.View().Get(kind, "worker/s-1")
+	item, _ := m.r.View().Get(orderKind, "worker/s-1")
 	if item.Version != 1 || len(m.ids) != 1 {
 		t.Errorf("set at %d by %d writes, want 1 by 1", item.Version, len(m.ids))
 	}
@@ -159,7 +159,7 @@
 	p.Keeper.mu.Lock()
 	defer p.Keeper.mu.Unlock()
 	p.applyLocked()
-	return len(p.waiting)
+	return len(p.pending)
 }
 
 // The last order at a process counts, also where the one before it is agreed on only after it.
@@ -169,7 +169,7 @@
 	a := start(t, m, encode(nil))
 	a.Order(context.Background(), Worker("s-1"), true)
 	a.Keeper.mu.Lock()
-	stray := a.waiting[0].write("test") // still on its way
+	stray := a.pending[0].toWrite("test") // still on its way
 	a.Keeper.mu.Unlock()
 	m.failing(nil)
 	if got := a.Order(context.Background(), Worker("s-1"), false); got != Everywhere {
@@ -178,7 +178,7 @@
 	if r, _ := m.Write(context.Background(), stray); r.Outcome == record.Applied {
 		t.Error("the order before it took effect after it")
 	}
-	if _, there := m.r.View().Get(kind, "worker/s-1"); there {
+	if _, there := m.r.View().Get(orderKind, "worker/s-1"); there {
 		t.Error("the worker is out")
 	}
 }
@@ -186,7 +186,7 @@
 func TestNextProcess(t *testing.T) {
 	t.Run("pending orders go on under their id", func(t *testing.T) {
 		m := newMember()
-		kept := []*pending{fresh(Worker("s-1"), true)}
+		kept := []*pendingOrder{newOrder(Worker("s-1"), true)}
 		start(t, m, encode(kept)).holds(t, "s-1")
 		for end := time.Now().Add(20 * time.Second); m.r.View().Version() == 0 && time.Now().Before(end); {
 			time.Sleep(5 * time.Millisecond)
@@ -206,7 +206,7 @@
 		start(t, m, encode(nil), "s-1").holds(t, "")
 	})
 	t.Run("a foreign file counts for nothing", func(t *testing.T) {
-		if got, err := decode([]byte(`{"kind":"other"}`)); err == nil || cmp.Diff([]*pending(nil), got) != "" {
+		if got, err := decode([]byte(`{"kind":"other"}`)); err == nil || cmp.Diff([]*pendingOrder(nil), got) != "" {
 			t.Error(got, err)
 		}
 	})
--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -1,5 +1,6 @@
-// Package orders makes what operators order at one process hold at all members of a cluster: an order holds here at once,
-// is written to the record in the background until that is sure, and what the record says holds here as soon as it is heard.
+// Package orders propagates operators' orders from one process to all members of a cluster. An order is an operator's command to disable or
+// enable a worker (a backend) or a zone. It takes effect here at once and is written to the record, the cluster's replicated state, in the
+// background until it is known to be committed; what the record holds takes effect here as soon as it arrives.
 package orders
 
 import (
@@ -13,74 +14,74 @@
 	"burlpass/internal/record"
 )
 
-// Target is what an order is for: the key of its item in the record.
+// Target identifies what an order applies to. It is the key of the order's item in the record.
 type Target string
 
-// Worker is the target of a worker, by the registry's id.
+// Worker returns the target for the worker with the given registry id.
 func Worker(id string) Target { return Target("worker/" + id) }
 
-// Hall is the target of all workers of a hall.
+// Hall returns the target for all workers of a zone.
 func Hall(name string) Target { return Target("hall/" + name) }
 
-const kind record.Kind = "order"
+const orderKind record.Kind = "order"
 
-// pending is an order given here that the record shown here does not have yet.
-type pending struct {
-	Target  Target         `json:"target"`
-	Out     bool           `json:"out"` // taken out; else put back
-	ID      string         `json:"id"`  // of the write, the same at each try
-	Base    record.Version `json:"base"`
-	settled record.Version // of the entry that has it; 0 while that is not sure
-	refused bool           // the record does not take it: it holds here alone
+// pendingOrder is an order given here that this member's copy of the record does not hold yet.
+type pendingOrder struct {
+	Target    Target         `json:"target"`
+	Disabled  bool           `json:"out"` // else enabled
+	ID        string         `json:"id"`  // of the write, the same for each attempt
+	Base      record.Version `json:"base"`
+	committed record.Version // record version that holds the order; 0 while unknown
+	rejected  bool           // by the record: the order is in force here only
 }
 
-// set takes an order into account.
-func set(s *maintenance.Set, to Target, out bool) {
-	name, worker := strings.CutPrefix(string(to), "worker/")
+// applyOrder applies an order to a set.
+func applyOrder(s *maintenance.Set, target Target, disabled bool) {
+	name, worker := strings.CutPrefix(string(target), "worker/")
 	if !worker {
-		name, _ = strings.CutPrefix(string(to), "hall/")
+		name, _ = strings.CutPrefix(string(target), "hall/")
 	}
 	switch {
-	case worker && out:
+	case worker && disabled:
 		s.Disable(name)
 	case worker:
 		s.Enable(name)
-	case out:
+	case disabled:
 		s.DisableHall(name)
 	default:
 		s.EnableHall(name)
 	}
 }
 
-// effective is what is taken out here: what the record says, or, before there is one to read, what was in force at the start;
-// and over it the orders given here that it does not show yet.
-func effective(view record.View, start maintenance.Set, waiting []*pending) maintenance.Set {
-	out := start.Clone()
+// effectiveSet returns what is disabled here: what the record holds, or the set at the start while there is no record, with the pending orders
+// applied on top.
+func effectiveSet(view record.View, start maintenance.Set, pending []*pendingOrder) maintenance.Set {
+	inForce := start.Clone()
 	if view != nil {
-		out = maintenance.Set{}
-		view.Each(kind, func(i record.Item) bool {
-			set(&out, Target(i.Key), true)
+		inForce = maintenance.Set{}
+		view.Each(orderKind, func(i record.Item) bool {
+			applyOrder(&inForce, Target(i.Key), true)
 			return true
 		})
 	}
-	for _, p := range waiting {
-		set(&out, p.Target, p.Out)
+	for _, p := range pending {
+		applyOrder(&inForce, p.Target, p.Disabled)
 	}
-	return out
+	return inForce
 }
 
-// shown drops the orders that a state has, and so no longer have to be laid over it.
-func shown(view record.View, waiting []*pending) []*pending {
-	return slices.DeleteFunc(waiting, func(p *pending) bool {
-		return view != nil && p.settled != 0 && p.settled <= view.Version()
+// withoutShown removes the pending orders that the given state of the record includes.
+func withoutShown(view record.View, pending []*pendingOrder) []*pendingOrder {
+	return slices.DeleteFunc(pending, func(p *pendingOrder) bool {
+		return view != nil && p.committed != 0 && p.committed <= view.Version()
 	})
 }
 
-// write is the entry of an order.
-func (p *pending) write(by string) *record.Write {
-	c := record.Change{Kind: kind, Key: string(p.Target)}
-	if p.Out {
-		c.Value, _ = json.Marshal(struct { // of strings and a number: it cannot fail
+// toWrite returns the write that sets or deletes the order's item in the record.
+func (p *pendingOrder) toWrite(by string) *record.Write {
+	c := record.Change{Kind: orderKind, Key: string(p.Target)}
+	if p.Disabled {
+		c.Value, _ = json.Marshal(struct { // cannot fail: only strings and a number
 			Do      string `json:"do"`
 			By      string `json:"by"`
 			UntilMs int64  `json:"until_ms"`
@@ -89,29 +90,29 @@
 	return &record.Write{ID: p.ID, By: by, Base: p.Base, Changes: []record.Change{c}}
 }
 
-// file is how pending orders are kept.
-type file struct {
-	Kind    string     `json:"kind"`
-	Waiting []*pending `json:"waiting"`
+// ordersFile is the stored form of the pending orders.
+type ordersFile struct {
+	Kind    string          `json:"kind"`
+	Pending []*pendingOrder `json:"waiting"`
 }
 
-const fileKind = "burlpass orders 1"
+const ordersFileKind = "burlpass orders 1"
 
-// errForeign says that the bytes are not what encode wrote.
-var errForeign = errors.New("not a file of orders of burlpass")
+// errNotOrdersFile reports data that encode has not written.
+var errNotOrdersFile = errors.New("not a burlpass orders file")
 
-func encode(waiting []*pending) []byte {
-	b, _ := json.Marshal(file{fileKind, append([]*pending{}, waiting...)}) // of plain data: it cannot fail
+func encode(pending []*pendingOrder) []byte {
+	b, _ := json.Marshal(ordersFile{ordersFileKind, append([]*pendingOrder{}, pending...)}) // cannot fail: only plain data
 	return append(b, '\n')
 }
 
-func decode(b []byte) ([]*pending, error) {
-	var f file
+func decode(b []byte) ([]*pendingOrder, error) {
+	var f ordersFile
 	if err := json.Unmarshal(b, &f); err != nil {
-		return nil, fmt.Errorf("%w: %v", errForeign, err)
+		return nil, fmt.Errorf("%w: %v", errNotOrdersFile, err)
 	}
-	if f.Kind != fileKind || slices.Contains(f.Waiting, nil) {
-		return nil, fmt.Errorf("%w: kind %.40q", errForeign, f.Kind)
+	if f.Kind != ordersFileKind || slices.Contains(f.Pending, nil) {
+		return nil, fmt.Errorf("%w: kind %.40q", errNotOrdersFile, f.Kind)
 	}
-	return f.Waiting, nil
+	return f.Pending, nil
 }
