--- a/internal/lease/book.go
+++ b/internal/lease/book.go
@@ -186,8 +186,8 @@
 	p.outstanding = kept
 }
 
-// recordGrant records a new grant. Its expiry is moved to that of the grant before it, if that is later.
-func (p *allocation) recordGrant(amount int64, until time.Duration) {
+// grant records a new grant. Its expiry is moved to that of the grant before it, if that is later.
+func (p *allocation) grant(amount int64, until time.Duration) {
 	if n := len(p.outstanding); n > 0 { // the holder's tail may have become smaller, but expiry times never fall
 		until = max(until, p.outstanding[n-1].expiresAt)
 	}
@@ -229,7 +229,7 @@
 				continue // an earlier leader's grant stays in force until it expires
 			}
 			p := l.allocations[h.name]
-			n := l.grantTo(now, p, recovering)
+			n := l.grant(now, p, recovering)
 			given = append(given, Given{w.ID, n, !recovering && n < p.target && n < w.Demand})
 		}
 		replies[i].Answer.Given = given
@@ -288,8 +288,8 @@
 	return ""
 }
 
-// grantTo grants a holder its target amount, as far as the amount that is not outstanding allows.
-func (l *limit) grantTo(now time.Duration, p *allocation, recovering bool) int64 {
+// grant grants a holder its target amount, as far as the amount that is not outstanding allows.
+func (l *limit) grant(now time.Duration, p *allocation, recovering bool) int64 {
 	granted := p.target
 	if recovering {
 		granted = min(granted, p.claim)
@@ -307,7 +307,7 @@
 	if l.Kind == Calls {
 		tail = p.holder.tail
 	}
-	p.recordGrant(granted, now+grantLifetime(tail))
+	p.grant(granted, now+grantLifetime(tail))
 	l.outstanding += p.maxBelieved() - before
 	switch {
 	case granted == 0:
