--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -8,104 +8,107 @@
 	"pgregory.net/rapid"
 )
 
-// world is dividers and holders on one true time. Each has a clock that is off by up to one in Drift; messages are lost, late,
-// twice and out of order.
-type world struct {
-	t        *rapid.T
-	now      time.Duration // true
-	limits   []Limit
-	history  []era
-	leader   *divider
-	dividers []*divider
-	holders  []*process
-	asks     []Ask
-	pending  []*batch
-	answers  []Answer
-	to       []*process // of answers
-	starts   int
+// simulation runs leaders and holders on one true time. Each has a clock that is off by up to 1/Drift; messages are lost, delayed,
+// duplicated and reordered.
+type simulation struct {
+	t          *rapid.T
+	now        time.Duration // true time
+	limits     []Limit
+	history    []limitsChange
+	leader     *leaderNode
+	leaders    []*leaderNode
+	holders    []*process
+	asks       []Ask
+	pending    []*batch
+	answers    []Answer
+	recipients []*process // of answers, by index
+	starts     int
 }
 
-// era is a time from which limits were in force, as the leader had them.
-type era struct {
-	from   time.Duration
-	leased map[string]int64
+// limitsChange records the limits in force at the leader from a time on.
+type limitsChange struct {
+	from     time.Duration
+	leasable map[string]int64
 }
 
-type skewed struct {
+// skewedClock is a clock with an offset and a constant drift.
+type skewedClock struct {
 	offset time.Duration
-	rate   int64 // parts of 1,000 on top
+	rate   int64 // drift, in thousandths
 }
 
-func (c skewed) at(t time.Duration) time.Duration { return c.offset + t + t*time.Duration(c.rate)/1000 }
+func (c skewedClock) at(t time.Duration) time.Duration {
+	return c.offset + t + t*time.Duration(c.rate)/1000
+}
 
-type divider struct {
+type leaderNode struct {
 	book  *Book
-	clock skewed
+	clock skewedClock
 }
 
-// batch is answers that are not proved, or not sent.
+// batch holds answers that are not sent yet. They may be sent once the sender has verified that it still leads.
 type batch struct {
-	of     *divider
-	proved bool
-	asks   []Ask
-	all    []Reply
+	sender   *leaderNode
+	verified bool
+	asks     []Ask
+	replies  []Reply
 }
 
 type process struct {
-	name   string
-	h      *Holder
-	clock  skewed
-	wakes  time.Duration // true
-	demand map[string]int64
-	calls  []time.Duration // true ends of those under way
+	name     string
+	h        *Holder
+	clock    skewedClock
+	wakesAt  time.Duration // true time until which the process is stopped
+	demand   map[string]int64
+	callEnds []time.Duration // true end times of the calls in flight
 }
 
-const tailTime = 4 * time.Second
+const callTail = 4 * time.Second
 
-func (w *world) clock() skewed {
-	return skewed{time.Duration(rapid.IntRange(1, 1000).Draw(w.t, "offset")) * time.Second,
-		int64(rapid.SampledFrom([]int{-1000 / Drift, 0, 1000 / Drift}).Draw(w.t, "drift"))}
+func (s *simulation) clock() skewedClock {
+	return skewedClock{time.Duration(rapid.IntRange(1, 1000).Draw(s.t, "offset")) * time.Second,
+		int64(rapid.SampledFrom([]int{-1000 / Drift, 0, 1000 / Drift}).Draw(s.t, "drift"))}
 }
 
-func (w *world) start(i int) *process {
-	w.starts++
-	name := fmt.Sprintf("p%d/%d", i, w.starts)
-	p := &process{name: name, h: NewHolder(name, tailTime), clock: w.clock(), demand: map[string]int64{}}
-	p.h.Set(w.limits)
+func (s *simulation) start(i int) *process {
+	s.starts++
+	name := fmt.Sprintf("p%d/%d", i, s.starts)
+	p := &process{name: name, h: NewHolder(name, callTail), clock: s.clock(), demand: map[string]int64{}}
+	p.h.Set(s.limits)
 	return p
 }
 
-func (w *world) elect() {
-	d := &divider{clock: w.clock()}
-	d.book = NewBook(uint64(len(w.dividers)+1), d.clock.at(w.now))
-	w.leader, w.dividers = d, append(w.dividers, d)
-	w.put()
+func (s *simulation) elect() {
+	d := &leaderNode{clock: s.clock()}
+	d.book = NewBook(uint64(len(s.leaders)+1), d.clock.at(s.now))
+	s.leader, s.leaders = d, append(s.leaders, d)
+	s.applyLimits()
 }
 
-// put has the leader apply the limits in force, and the holders hear of them.
-func (w *world) put() {
-	w.leader.book.Set(w.leader.clock.at(w.now), w.limits)
-	e := era{w.now, map[string]int64{}}
-	for _, l := range w.limits {
-		e.leased[l.ID] = l.Leased()
+// applyLimits sets the limits in force at the leader and records the change.
+func (s *simulation) applyLimits() {
+	s.leader.book.Set(s.leader.clock.at(s.now), s.limits)
+	e := limitsChange{s.now, map[string]int64{}}
+	for _, l := range s.limits {
+		e.leasable[l.ID] = l.Leased()
 	}
-	w.history = append(w.history, e)
+	s.history = append(s.history, e)
 }
 
-// allowed is the highest limit in force in a time before now.
-func (w *world) allowed(id string, back time.Duration) (most int64) {
-	for i := len(w.history) - 1; i >= 0; i-- {
-		most = max(most, w.history[i].leased[id])
-		if w.history[i].from <= w.now-back {
+// maxLeasable returns the highest leasable amount in force during the given time before now.
+func (s *simulation) maxLeasable(id string, back time.Duration) (most int64) {
+	for i := len(s.history) - 1; i >= 0; i-- {
+		most = max(most, s.history[i].leasable[id])
+		if s.history[i].from <= s.now-back {
 			break
 		}
 	}
 	return most
 }
 
-func (p *process) live(now time.Duration) int64 {
+func (p *process) liveCalls(now time.Duration) int64 {
 	n := int64(0)
-	for _, end := range p.calls {
+	for _, end := range p.callEnds {
 		if end > now {
 			n++
 		}
@@ -125,45 +128,46 @@
 	return 0
 }
 
-// check is the promise.
-func (w *world) check() {
+// checkLimits fails the test if leases or calls add up to more than a limit allows.
+func (s *simulation) checkLimits() {
 	var rates, calls int64
-	for _, p := range w.holders {
-		rates += p.leased("r", w.now)
-		calls += p.live(w.now)
+	for _, p := range s.holders {
+		rates += p.leased("r", s.now)
+		calls += p.liveCalls(s.now)
 	}
 	const window = Length + 4*Length/Drift
-	if most := w.allowed("r", window); rates > most {
-		w.t.Fatalf("at %v: leases of rate add up to %d, and %d is the most", w.now, rates, most)
+	if most := s.maxLeasable("r", window); rates > most {
+		s.t.Fatalf("at %v: rate leases add up to %d, at most %d are allowed", s.now, rates, most)
 	}
-	if most := w.allowed("c", window+tailTime+8*tailTime/Drift); calls > most {
-		w.t.Fatalf("at %v: %d calls, and %d is the most", w.now, calls, most)
+	if most := s.maxLeasable("c", window+callTail+8*callTail/Drift); calls > most {
+		s.t.Fatalf("at %v: %d calls in flight, at most %d are allowed", s.now, calls, most)
 	}
 }
 
-func (w *world) ask(p *process) {
-	if w.now < p.wakes {
+func (s *simulation) ask(p *process) {
+	if s.now < p.wakesAt {
 		return
 	}
-	at := p.clock.at(w.now)
-	w.asks = append(w.asks, p.h.Ask(at, at, func(l *Held) Use {
+	at := p.clock.at(s.now)
+	s.asks = append(s.asks, p.h.Ask(at, at, func(l *Held) Use {
 		u := Use{Demand: p.demand[l.ID], Most: -1}
 		if l.ID == "c" {
-			u.Under = p.live(w.now)
-		} else if rapid.IntRange(0, 3).Draw(w.t, "less") == 0 {
+			u.Under = p.liveCalls(s.now)
+		} else if rapid.IntRange(0, 3).Draw(s.t, "less") == 0 {
 			u.Most = u.Demand
 		}
 		return u
 	}))
 }
 
-func pick[T any](w *world, of *[]T, keep bool) (x T, ok bool) {
+// pick returns one element, often the last one, and removes it unless keep is true.
+func pick[T any](s *simulation, of *[]T, keep bool) (x T, ok bool) {
 	if len(*of) == 0 {
 		return x, false
 	}
 	i := len(*of) - 1
-	if rapid.Bool().Draw(w.t, "any") {
-		i = rapid.IntRange(0, len(*of)-1).Draw(w.t, "which")
+	if rapid.Bool().Draw(s.t, "any") {
+		i = rapid.IntRange(0, len(*of)-1).Draw(s.t, "which")
 	}
 	x = (*of)[i]
 	if !keep {
@@ -172,159 +176,160 @@
 	return x, true
 }
 
-func (w *world) twice() bool { return rapid.IntRange(0, 9).Draw(w.t, "twice") == 0 }
+func (s *simulation) duplicate() bool { return rapid.IntRange(0, 9).Draw(s.t, "duplicate") == 0 }
 
-func (w *world) divide(d *divider) {
+func (s *simulation) answerBatch(d *leaderNode) {
 	var b batch
-	for range rapid.IntRange(1, 3).Draw(w.t, "gathered") {
-		if a, ok := pick(w, &w.asks, w.twice()); ok {
+	for range rapid.IntRange(1, 3).Draw(s.t, "gathered") {
+		if a, ok := pick(s, &s.asks, s.duplicate()); ok {
 			b.asks = append(b.asks, a)
 		}
 	}
-	b.of, b.all = d, d.book.Answer(d.clock.at(w.now), b.asks)
-	w.pending = append(w.pending, &b)
+	b.sender, b.replies = d, d.book.Answer(d.clock.at(s.now), b.asks)
+	s.pending = append(s.pending, &b)
 }
 
-func (w *world) prove(b *batch) { b.proved = b.proved || b.of == w.leader }
+func (s *simulation) verify(b *batch) { b.verified = b.verified || b.sender == s.leader }
 
-func (w *world) send(b *batch) {
-	for i, r := range b.all {
+func (s *simulation) send(b *batch) {
+	for i, r := range b.replies {
 		if r.Refused == "" {
-			w.answers = append(w.answers, r.Answer)
+			s.answers = append(s.answers, r.Answer)
 			var to *process
-			for _, p := range w.holders {
+			for _, p := range s.holders {
 				if p.name == b.asks[i].Holder {
 					to = p
 				}
 			}
-			w.to = append(w.to, to)
+			s.recipients = append(s.recipients, to)
 		}
 	}
 }
 
-func (w *world) hear() {
-	if len(w.answers) == 0 {
+func (s *simulation) deliver() {
+	if len(s.answers) == 0 {
 		return
 	}
-	i := len(w.answers) - 1
-	if rapid.Bool().Draw(w.t, "any") {
-		i = rapid.IntRange(0, i).Draw(w.t, "which")
+	i := len(s.answers) - 1
+	if rapid.Bool().Draw(s.t, "any") {
+		i = rapid.IntRange(0, i).Draw(s.t, "which")
 	}
-	a, p := w.answers[i], w.to[i]
-	if !w.twice() {
-		w.answers, w.to = append(w.answers[:i:i], w.answers[i+1:]...), append(w.to[:i:i], w.to[i+1:]...)
+	a, p := s.answers[i], s.recipients[i]
+	if !s.duplicate() {
+		s.answers, s.recipients = append(s.answers[:i:i], s.answers[i+1:]...), append(s.recipients[:i:i], s.recipients[i+1:]...)
 	}
-	for _, q := range w.holders {
-		if p == q && w.now >= p.wakes {
+	for _, q := range s.holders {
+		if p == q && s.now >= p.wakesAt {
 			p.h.Answer(&a)
 		}
 	}
 }
 
-// round is a question that goes as it should.
-func (w *world) round(p *process) {
-	w.ask(p)
-	if a, n := w.asks, len(w.asks); n > 0 {
-		r := w.leader.book.Answer(w.leader.clock.at(w.now), a[n-1:])[0]
-		w.asks = a[:n-1]
-		if r.Refused == "" && w.now >= p.wakes {
+// exchange sends one request to the leader and delivers the answer at once.
+func (s *simulation) exchange(p *process) {
+	s.ask(p)
+	if a, n := s.asks, len(s.asks); n > 0 {
+		r := s.leader.book.Answer(s.leader.clock.at(s.now), a[n-1:])[0]
+		s.asks = a[:n-1]
+		if r.Refused == "" && s.now >= p.wakesAt {
 			p.h.Answer(&r.Answer)
 		}
 	}
 }
 
-func (w *world) admit(p *process) {
-	for w.now >= p.wakes && p.live(w.now) < p.leased("c", w.now) {
-		p.calls = append(p.calls, w.now+time.Duration(rapid.IntRange(1, 4).Draw(w.t, "lasts"))*tailTime/4)
+func (s *simulation) admit(p *process) {
+	for s.now >= p.wakesAt && p.liveCalls(s.now) < p.leased("c", s.now) {
+		p.callEnds = append(p.callEnds, s.now+time.Duration(rapid.IntRange(1, 4).Draw(s.t, "lasts"))*callTail/4)
 	}
 }
 
-func (w *world) step() {
-	p := rapid.SampledFrom(w.holders).Draw(w.t, "holder")
-	switch rapid.IntRange(0, 27).Draw(w.t, "step") {
+func (s *simulation) step() {
+	p := rapid.SampledFrom(s.holders).Draw(s.t, "holder")
+	switch rapid.IntRange(0, 27).Draw(s.t, "step") {
 	case 0:
-		if len(w.dividers) < 6 {
-			w.elect()
+		if len(s.leaders) < 6 {
+			s.elect()
 		}
 	case 1:
-		p.wakes = w.now + 20*time.Second
+		p.wakesAt = s.now + 20*time.Second
 	case 2:
-		for i := range w.holders {
-			if w.holders[i] == p {
-				w.holders[i] = w.start(i)
+		for i := range s.holders {
+			if s.holders[i] == p {
+				s.holders[i] = s.start(i)
 			}
 		}
 	case 3:
-		w.limits = w.draw()
-		w.put()
-		for _, q := range w.holders {
-			q.h.Set(w.limits)
+		s.limits = s.drawLimits()
+		s.applyLimits()
+		for _, q := range s.holders {
+			q.h.Set(s.limits)
 		}
 	case 4:
-		if at := p.clock.at(w.now); w.now >= p.wakes && rapid.IntRange(0, 3).Draw(w.t, "leaves") == 0 {
-			w.asks = append(w.asks, p.h.Leave(at, at, func(*Held) Use { return Use{Under: p.live(w.now), Most: -1} }))
+		if at := p.clock.at(s.now); s.now >= p.wakesAt && rapid.IntRange(0, 3).Draw(s.t, "leaves") == 0 {
+			s.asks = append(s.asks, p.h.Leave(at, at, func(*Held) Use { return Use{Under: p.liveCalls(s.now), Most: -1} }))
 		}
 	case 5, 6:
-		w.ask(p)
+		s.ask(p)
 	case 7, 8:
-		w.divide(w.leader)
+		s.answerBatch(s.leader)
 	case 9:
-		w.divide(rapid.SampledFrom(w.dividers).Draw(w.t, "divider"))
+		s.answerBatch(rapid.SampledFrom(s.leaders).Draw(s.t, "leader"))
 	case 10, 11:
-		if b, ok := pick(w, &w.pending, true); ok { // only who leads now can prove that it led after it divided
-			w.prove(b)
+		if b, ok := pick(s, &s.pending, true); ok { // only the current leader can prove that it still led after it answered
+			s.verify(b)
 		}
 	case 12, 13:
-		if b, ok := pick(w, &w.pending, false); ok && b.proved {
-			w.send(b)
+		if b, ok := pick(s, &s.pending, false); ok && b.verified {
+			s.send(b)
 		}
 	case 14, 15:
-		w.hear()
+		s.deliver()
 	case 16, 17:
 		for _, id := range []string{"r", "c"} {
-			p.demand[id] = int64(rapid.IntRange(0, 1).Draw(w.t, "wants")) * int64(rapid.IntRange(1, 20_000).Draw(w.t, "demand"))
+			p.demand[id] = int64(rapid.IntRange(0, 1).Draw(s.t, "wants")) * int64(rapid.IntRange(1, 20_000).Draw(s.t, "demand"))
 		}
 	case 18, 19:
-		w.admit(p)
+		s.admit(p)
 	case 20, 21, 22:
-		for _, q := range w.holders {
-			w.round(q)
-			w.admit(q)
-			w.check()
+		for _, q := range s.holders {
+			s.exchange(q)
+			s.admit(q)
+			s.checkLimits()
 		}
 	case 23:
-		w.change(p)
+		s.changeLeader(p)
 	case 24:
-		w.lower(p)
+		s.lowerLimits(p)
 	default:
-		w.now += rapid.SampledFrom([]time.Duration{time.Millisecond, 50 * time.Millisecond, 250 * time.Millisecond, time.Second,
-			Length - Length/Drift, Length, 20 * time.Second}).Draw(w.t, "time")
+		s.now += rapid.SampledFrom([]time.Duration{time.Millisecond, 50 * time.Millisecond, 250 * time.Millisecond, time.Second,
+			Length - Length/Drift, Length, 20 * time.Second}).Draw(s.t, "time")
 	}
 }
 
-// draw draws which limits are in force.
-func (w *world) draw() (all []Limit) {
-	if rapid.IntRange(0, 9).Draw(w.t, "r there") > 0 {
-		all = append(all, Limit{ID: "r", Kind: Rate, Amount: int64(rapid.SampledFrom([]int{500, 2000, 5000, 20_000}).Draw(w.t, "rate"))})
+// drawLimits draws the limits in force.
+func (s *simulation) drawLimits() (all []Limit) {
+	if rapid.IntRange(0, 9).Draw(s.t, "r there") > 0 {
+		all = append(all, Limit{ID: "r", Kind: Rate, Amount: int64(rapid.SampledFrom([]int{500, 2000, 5000, 20_000}).Draw(s.t, "rate"))})
 	}
-	if rapid.IntRange(0, 9).Draw(w.t, "c there") > 0 {
-		all = append(all, Limit{ID: "c", Kind: Calls, Amount: int64(rapid.IntRange(1, 8).Draw(w.t, "calls"))})
+	if rapid.IntRange(0, 9).Draw(s.t, "c there") > 0 {
+		all = append(all, Limit{ID: "c", Kind: Calls, Amount: int64(rapid.IntRange(1, 8).Draw(s.t, "calls"))})
 	}
 	return all
 }
 
-// Whatever happens, what processes go by adds up to no more than the limit.
-func TestNeverOver(t *testing.T) {
+// Guards against leases that add up to more than the limit: after a change of leaders, lost or late messages, clock drift, or stopped and
+// restarted processes.
+func TestLeasesNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Second}
-		w.limits = w.draw()
-		w.elect()
+		s := &simulation{t: t, now: time.Second}
+		s.limits = s.drawLimits()
+		s.elect()
 		for i := range rapid.IntRange(2, 4).Draw(t, "holders") {
-			w.holders = append(w.holders, w.start(i))
+			s.holders = append(s.holders, s.start(i))
 		}
 		for range rapid.IntRange(50, 250).Draw(t, "steps") {
-			w.step()
-			w.check()
+			s.step()
+			s.checkLimits()
 		}
 	})
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -17,17 +17,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// leader divides in memory, at once. While it is away it refuses.
+// leader is a cluster member that answers lease requests in memory, at once. It fails them while it is unavailable.
 type leader struct {
-	mu    sync.Mutex
-	book  *lease.Book
-	began time.Time
-	away  bool
-	asked chan lease.Ask
+	mu          sync.Mutex
+	book        *lease.Book
+	startedAt   time.Time
+	unavailable bool
+	requests    chan lease.Ask
 }
 
 func newLeader(limits ...lease.Limit) *leader {
-	l := &leader{book: lease.NewBook(1, time.Second), began: time.Now().Add(-time.Hour), asked: make(chan lease.Ask, 1000)}
+	l := &leader{book: lease.NewBook(1, time.Second), startedAt: time.Now().Add(-time.Hour), requests: make(chan lease.Ask, 1000)}
 	l.book.Set(time.Second, limits)
 	return l
 }
@@ -35,18 +35,19 @@
 func (l *leader) Lease(_ context.Context, ask lease.Ask) (lease.Answer, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
-		return lease.Answer{}, errors.New("away")
+	if l.unavailable {
+		return lease.Answer{}, errors.New("unavailable")
 	}
-	r := l.book.Answer(time.Since(l.began), []lease.Ask{ask})[0]
+	r := l.book.Answer(time.Since(l.startedAt), []lease.Ask{ask})[0]
 	select {
-	case l.asked <- ask:
+	case l.requests <- ask:
 	default:
 	}
 	return r.Answer, nil
 }
 
-func run(l *Limits) (end func()) {
+// start runs l in the background; stop ends it and waits.
+func start(l *Limits) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -59,16 +60,18 @@
 	}
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits up to a minute for a condition.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(time.Minute); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("did not happen: " + what)
 		}
 	}
 }
 
-// A process has nothing, its part, or no limit before its first lease, then what it is given; at its end it gives that back.
+// Before its first lease a process is held to what the limit's Cut says, then to its lease; at its end it must return the lease, which
+// would otherwise stay unused until it expires.
 func TestCutOffAndLeased(t *testing.T) {
 	limits := []lease.Limit{
 		{ID: "nothing", Kind: lease.Calls, Amount: 2},
@@ -76,44 +79,44 @@
 		{ID: "open", Kind: lease.Calls, Amount: 1, Cut: lease.Cut{Mode: lease.Open}},
 	}
 	d := newLeader(limits...)
-	var text bytes.Buffer
-	l := New(Config{Member: d, Name: "p", Tail: time.Second, Log: slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug}))})
+	var logs bytes.Buffer
+	l := New(Config{Member: d, Name: "p", Tail: time.Second, Log: slog.New(slog.NewTextHandler(&logs, &slog.HandlerOptions{Level: slog.LevelDebug}))})
 	l.Set(limits)
 	for id, want := range map[string]int{"nothing": 0, "reserve": 1, "open": 20, "none": 20} {
-		if got := letIn(l, id); got != want {
-			t.Errorf("%s, cut off: %d calls let in, not %d", id, got, want)
+		if got := countAdmitted(l, id); got != want {
+			t.Errorf("%s, cut off: %d calls admitted, want %d", id, got, want)
 		}
 	}
 	if _, wait, ok := l.Take([]string{"open"}, 2*time.Second); ok || wait != 0 {
-		t.Error("a call that may outlast the tail was let in", wait)
+		t.Error("a call with a budget over the tail was admitted", wait)
 	}
-	end := run(l)
+	stop := start(l)
 	eventually(t, "a lease", func() bool {
 		ticket, _, ok := l.Take([]string{"nothing"}, 0)
 		l.Done(ticket)
 		return ok
 	})
-	if got := letIn(l, "nothing"); got == 0 || got > 2 {
-		t.Errorf("leased: %d calls let in", got)
+	if got := countAdmitted(l, "nothing"); got == 0 || got > 2 {
+		t.Errorf("leased: %d calls admitted", got)
 	}
-	end()
-	if got := letIn(l, "nothing"); got != 0 {
-		t.Errorf("after its end: %d calls let in", got)
+	stop()
+	if got := countAdmitted(l, "nothing"); got != 0 {
+		t.Errorf("after the end: %d calls admitted", got)
 	}
 	var last lease.Ask
-	for len(d.asked) > 0 {
-		last = <-d.asked
+	for len(d.requests) > 0 {
+		last = <-d.requests
 	}
 	if !last.Leaves {
-		t.Errorf("nothing was given back: %+v", last)
+		t.Errorf("the last request does not return the leases: %+v", last)
 	}
-	if !strings.Contains(text.String(), "msg=lease limit=nothing holder="+l.Holder()+" amount=") || !strings.Contains(text.String(), "msg=lease_ended limit=nothing") {
-		t.Error("a lease's begin and end are not in the log:\n" + text.String())
+	if !strings.Contains(logs.String(), "msg=lease limit=nothing holder="+l.Holder()+" amount=") || !strings.Contains(logs.String(), "msg=lease_ended limit=nothing") {
+		t.Error("the log lacks the begin or the end of a lease:\n" + logs.String())
 	}
 }
 
-// letIn is how many of 20 calls are let in together.
-func letIn(l *Limits, id string) (n int) {
+// countAdmitted returns how many of 20 concurrent calls are admitted.
+func countAdmitted(l *Limits, id string) (n int) {
 	var all []Ticket
 	for range 20 {
 		if t, _, ok := l.Take([]string{id}, 0); ok {
@@ -127,7 +130,7 @@
 	return n
 }
 
-// A call that one limit refuses uses up nothing of the others.
+// A call that one limit refuses must not consume anything of the other limits.
 func TestAllOrNone(t *testing.T) {
 	limits := []lease.Limit{{ID: "calls", Kind: lease.Calls, Amount: 3, Cut: lease.Cut{Mode: lease.Reserve, Share: 1000}},
 		{ID: "rate", Kind: lease.Rate, Amount: 1000, Cut: lease.Cut{Mode: lease.Reserve, Share: 1000}}}
@@ -135,12 +138,12 @@
 	l.Set(limits)
 	both := []string{"calls", "rate"}
 	if _, wait, ok := l.Take(both, 0); ok || wait <= 0 || wait > 1100*time.Millisecond {
-		t.Error("an empty bucket let a call in, or says a wrong time", wait, ok)
+		t.Error("an empty bucket admitted a call, or returned a wrong wait time", wait, ok)
 	}
-	if got := letIn(l, "calls"); got != 3 {
-		t.Errorf("%d places are left, not 3", got)
+	if got := countAdmitted(l, "calls"); got != 3 {
+		t.Errorf("%d calls admitted, want 3", got)
 	}
-	l.clockBase = l.clockBase.Add(-time.Hour) // as if
+	l.clockBase = l.clockBase.Add(-time.Hour) // simulates an hour that has passed
 	b := l.buckets["rate"]
 	b.limiter.SetBurst(10)
 	b.limiter.AllowN(time.Now().Add(-10*time.Second), 0)
@@ -151,15 +154,16 @@
 		held = append(held, ticket)
 	}
 	if _, _, ok := l.Take(both, 0); ok || b.limiter.TokensAt(time.Now()) < before {
-		t.Error("a refused call used up a token")
+		t.Error("a refused call consumed a token")
 	}
 	l.Done(held[0])
 	if n := l.buckets["calls"].inFlight; n != 2 {
-		t.Errorf("%d calls are under way, not 2", n)
+		t.Errorf("%d calls in flight, want 2", n)
 	}
 }
 
-func four() (*Limits, []string) {
+// newWithFourLimits returns Limits with two rates and two limits of calls, none of which is reached, and their ids.
+func newWithFourLimits() (*Limits, []string) {
 	var limits []lease.Limit
 	var ids []string
 	for _, id := range []string{"*/*/*#rate#a", "athens/*/*#rate#b", "athens/*/booking#calls#c", "*/*/*#calls#d"} {
@@ -176,7 +180,7 @@
 }
 
 func TestTakeAllocatesNothing(t *testing.T) {
-	l, ids := four()
+	l, ids := newWithFourLimits()
 	if n := testing.AllocsPerRun(1000, func() {
 		ticket, _, _ := l.Take(ids, time.Second)
 		l.Done(ticket)
@@ -186,7 +190,7 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	l, ids := four()
+	l, ids := newWithFourLimits()
 	b.ReportAllocs()
 	for b.Loop() {
 		ticket, _, _ := l.Take(ids, time.Second)
@@ -194,11 +198,11 @@
 	}
 }
 
-// Many goroutines take at once, and never more than the limit are in.
+// Guards against a race in Take and Done that admits more concurrent calls than the limit.
 func TestConcurrent(t *testing.T) {
 	l := New(Config{Name: "p"})
 	l.Set([]lease.Limit{{ID: "c", Kind: lease.Calls, Amount: 4, Cut: lease.Cut{Mode: lease.Reserve, Share: 1000}}})
-	var in, most, all int
+	var in, peak, total int
 	var mu sync.Mutex
 	var done sync.WaitGroup
 	for range 8 {
@@ -211,8 +215,8 @@
 					continue
 				}
 				mu.Lock()
-				in, all = in+1, all+1
-				most = max(most, in)
+				in, total = in+1, total+1
+				peak = max(peak, in)
 				mu.Unlock()
 				mu.Lock()
 				in--
@@ -222,7 +226,7 @@
 		}()
 	}
 	done.Wait()
-	if most > 4 || all == 0 || l.buckets["c"].inFlight != 0 {
-		t.Errorf("%d at once, %d in all, %d left", most, all, l.buckets["c"].inFlight)
+	if peak > 4 || total == 0 || l.buckets["c"].inFlight != 0 {
+		t.Errorf("%d at once, %d in total, %d still in flight", peak, total, l.buckets["c"].inFlight)
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -16,26 +16,26 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// member is a cluster of one in memory, which can be told to fail.
+// member is a one-member cluster in memory whose writes can be made to fail.
 type member struct {
-	mu   sync.Mutex
-	r    *replica.Replica
-	fail func() (lost bool, err error) // lost: it is agreed on all the same
-	ids  map[string]int                // how often each write came
+	mu       sync.Mutex
+	r        *replica.Replica
+	fault    func() (lost bool, err error) // lost: the write is applied, but its result is lost
+	attempts map[string]int                // number of attempts, by write id
 }
 
 func newMember() *member {
-	return &member{r: replica.New(record.New(record.DefaultBounds(), record.Orders()), 0, 0), ids: map[string]int{}}
+	return &member{r: replica.New(record.New(record.DefaultBounds(), record.Orders()), 0, 0), attempts: map[string]int{}}
 }
 
 func (m *member) Write(ctx context.Context, w *record.Write) (record.Result, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ids[w.ID]++
+	m.attempts[w.ID]++
 	var err error
-	if m.fail != nil {
+	if m.fault != nil {
 		var lost bool
-		if lost, err = m.fail(); err != nil && !lost {
+		if lost, err = m.fault(); err != nil && !lost {
 			return record.Result{}, err
 		}
 	}
@@ -52,16 +52,16 @@
 
 func (m *member) Replica() *replica.Replica { return m.r }
 
-func (m *member) failing(f func() (bool, error)) {
+func (m *member) setFault(f func() (bool, error)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fail = f
+	m.fault = f
 }
 
-// process is a keeper with what it has applied and kept.
+// process is a Keeper with the sets that it has applied and the orders that it has saved.
 type process struct {
 	*Keeper
-	sets  chan string // what holds, at each change
+	sets  chan string // the set in force after each change
 	mu    sync.Mutex
 	saved []byte
 }
@@ -90,8 +90,8 @@
 	return p
 }
 
-// holds waits until a set is in force.
-func (p *process) holds(t *testing.T, want string) {
+// waitFor waits until a set is in force.
+func (p *process) waitFor(t *testing.T, want string) {
 	t.Helper()
 	last := "none"
 	for end := time.After(20 * time.Second); last != want; {
@@ -109,34 +109,34 @@
 	if got := a.Order(context.Background(), Worker("s-1"), true); got != Everywhere {
 		t.Fatal(got)
 	}
-	a.holds(t, "s-1")
-	b.holds(t, "s-1")
+	a.waitFor(t, "s-1")
+	b.waitFor(t, "s-1")
 	b.Order(context.Background(), Hall("hall-a"), true)
-	a.holds(t, "s-1,hall-a")
-	b.Order(context.Background(), Worker("s-1"), false) // given elsewhere than the order that it ends
-	a.holds(t, "hall-a")
+	a.waitFor(t, "s-1,hall-a")
+	b.Order(context.Background(), Worker("s-1"), false) // reverts an order that was given at another process
+	a.waitFor(t, "hall-a")
 }
 
-// An order that cannot be agreed on holds here at once, and everywhere later, once the cluster is there.
+// An order that cannot be committed takes effect here at once, and everywhere once the cluster is available.
 func TestOrderWhileCutOff(t *testing.T) {
 	m := newMember()
-	m.failing(func() (bool, error) { return false, api.ErrRefused })
+	m.setFault(func() (bool, error) { return false, api.ErrRefused })
 	a, b := start(t, m, encode(nil)), start(t, m, encode(nil))
 	if got := a.Order(context.Background(), Worker("s-1"), true); got != Here {
 		t.Fatal(got)
 	}
-	a.holds(t, "s-1")
-	m.failing(nil)
-	b.holds(t, "s-1")
+	a.waitFor(t, "s-1")
+	m.setFault(nil)
+	b.waitFor(t, "s-1")
 	b.Order(context.Background(), Worker("s-1"), false)
-	a.holds(t, "")
+	a.waitFor(t, "")
 }
 
-// A write whose answer is lost is asked again under its own id, and stands once.
+// A write whose result is lost must be retried under the same id, so that it is applied only once.
 func TestLostAnswer(t *testing.T) {
 	m := newMember()
 	lost := 0
-	m.failing(func() (bool, error) {
+	m.setFault(func() (bool, error) {
 		if lost++; lost <= 3 {
 			return true, api.ErrUnknown
 		}
@@ -146,48 +146,48 @@
 	if got := a.Order(context.Background(), Worker("s-1"), true); got != Here {
 		t.Fatal(got)
 	}
-	for end := time.Now().Add(20 * time.Second); a.left() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); a.pendingCount() > 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	item, _ := m.r.View().Get(orderKind, "worker/s-1")
-	if item.Version != 1 || len(m.ids) != 1 {
-		t.Errorf("set at %d by %d writes, want 1 by 1", item.Version, len(m.ids))
+	if item.Version != 1 || len(m.attempts) != 1 {
+		t.Errorf("set at %d by %d writes, want 1 by 1", item.Version, len(m.attempts))
 	}
 }
 
-func (p *process) left() int {
+func (p *process) pendingCount() int {
 	p.Keeper.mu.Lock()
 	defer p.Keeper.mu.Unlock()
 	p.applyLocked()
 	return len(p.pending)
 }
 
-// The last order at a process counts, also where the one before it is agreed on only after it.
+// The last order at a process wins, even if the write of the one before it arrives later.
 func TestLaterOrderWins(t *testing.T) {
 	m := newMember()
-	m.failing(func() (bool, error) { return false, api.ErrUnknown })
+	m.setFault(func() (bool, error) { return false, api.ErrUnknown })
 	a := start(t, m, encode(nil))
 	a.Order(context.Background(), Worker("s-1"), true)
 	a.Keeper.mu.Lock()
-	stray := a.pending[0].toWrite("test") // still on its way
+	delayed := a.pending[0].toWrite("test") // in transit
 	a.Keeper.mu.Unlock()
-	m.failing(nil)
+	m.setFault(nil)
 	if got := a.Order(context.Background(), Worker("s-1"), false); got != Everywhere {
 		t.Fatal(got)
 	}
-	if r, _ := m.Write(context.Background(), stray); r.Outcome == record.Applied {
-		t.Error("the order before it took effect after it")
+	if r, _ := m.Write(context.Background(), delayed); r.Outcome == record.Applied {
+		t.Error("the earlier order took effect after the later one")
 	}
 	if _, there := m.r.View().Get(orderKind, "worker/s-1"); there {
-		t.Error("the worker is out")
+		t.Error("the worker is disabled")
 	}
 }
 
 func TestNextProcess(t *testing.T) {
-	t.Run("pending orders go on under their id", func(t *testing.T) {
+	t.Run("pending orders are retried under their id", func(t *testing.T) {
 		m := newMember()
 		kept := []*pendingOrder{newOrder(Worker("s-1"), true)}
-		start(t, m, encode(kept)).holds(t, "s-1")
+		start(t, m, encode(kept)).waitFor(t, "s-1")
 		for end := time.Now().Add(20 * time.Second); m.r.View().Version() == 0 && time.Now().Before(end); {
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -195,17 +195,17 @@
 			t.Error("written under another id")
 		}
 	})
-	t.Run("what was out before there was a cluster is ordered to it", func(t *testing.T) {
+	t.Run("workers disabled before there was a cluster are ordered to it", func(t *testing.T) {
 		m := newMember()
 		a, b := start(t, m, nil, "s-1", "s-2"), start(t, m, encode(nil))
-		b.holds(t, "s-1,s-2")
-		a.holds(t, "s-1,s-2")
+		b.waitFor(t, "s-1,s-2")
+		a.waitFor(t, "s-1,s-2")
 	})
-	t.Run("what the cluster has ended meanwhile holds no more", func(t *testing.T) {
+	t.Run("orders that the cluster has reverted are dropped", func(t *testing.T) {
 		m := newMember()
-		start(t, m, encode(nil), "s-1").holds(t, "")
+		start(t, m, encode(nil), "s-1").waitFor(t, "")
 	})
-	t.Run("a foreign file counts for nothing", func(t *testing.T) {
+	t.Run("a foreign file is rejected", func(t *testing.T) {
 		if got, err := decode([]byte(`{"kind":"other"}`)); err == nil || cmp.Diff([]*pendingOrder(nil), got) != "" {
 			t.Error(got, err)
 		}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -17,29 +17,29 @@
 	"burlpass/internal/rules"
 )
 
-const key = "*/*/booking@v1"
+const timelineKey = "*/*/booking@v1"
 
-// plant is a record whose answers may get lost.
-type plant struct {
-	t  *rapid.T
-	r  *replica.Replica
-	do string // of the next writes: "", "lost" before it was taken, "unknown" though it was
+// lossyRecord is a record of which writes or their results may get lost.
+type lossyRecord struct {
+	t     *rapid.T
+	r     *replica.Replica
+	fault string // of the next writes: "", "lost" before they are applied, or "unknown" result though they are applied
 }
 
-func (p *plant) Replica() *replica.Replica { return p.r }
+func (p *lossyRecord) Replica() *replica.Replica { return p.r }
 
-func (p *plant) Write(_ context.Context, w *record.Write) (record.Result, error) {
-	if p.do == "lost" {
+func (p *lossyRecord) Write(_ context.Context, w *record.Write) (record.Result, error) {
+	if p.fault == "lost" {
 		return record.Result{}, errors.New("lost")
 	}
 	res := p.apply(&record.Entry{Write: w})
-	if p.do == "unknown" {
+	if p.fault == "unknown" {
 		return record.Result{}, errors.New("unknown")
 	}
 	return res, nil
 }
 
-func (p *plant) apply(e *record.Entry) record.Result {
+func (p *lossyRecord) apply(e *record.Entry) record.Result {
 	raw, err := record.Encode(e)
 	if err != nil {
 		p.t.Fatal(err)
@@ -51,23 +51,23 @@
 	return res
 }
 
-func (p *plant) clock(ms int64) {
+func (p *lossyRecord) clock(ms int64) {
 	p.apply(&record.Entry{Clock: &record.Clock{Voters: 1, Readings: []record.Reading{{Voter: "a", Ms: ms}}}})
 }
 
-func newPlant(t *rapid.T) *plant {
-	p := &plant{t: t, r: replica.New(record.New(record.Bounds{}, append(rules.Domains(retire.Env), retire.Domains()...)...), 0, 0)}
+func newLossyRecord(t *rapid.T) *lossyRecord {
+	p := &lossyRecord{t: t, r: replica.New(record.New(record.Bounds{}, append(rules.Domains(retire.Env), retire.Domains()...)...), 0, 0)}
 	p.clock(1000)
 	for i, c := range []record.Change{
 		{Kind: rules.TeamKind, Key: "root", Value: []byte(`{"now":{}}`)},
 		{Kind: rules.NamespaceKind, Key: "*/*/*", Value: []byte(`{"now":{"owner":"root"}}`)},
 		{Kind: rules.NamespaceKind, Key: "*/*/booking", Value: []byte(`{"now":{"parent":"*/*/*","owner":"root"}}`)},
-		{Kind: retire.TimelineKind, Key: key, Value: []byte(`{"now":{"link":"/x","retry_s":1,"steps":[{"stage":"announced","at_ms":1},{"stage":"warned","at_ms":2},` +
+		{Kind: retire.TimelineKind, Key: timelineKey, Value: []byte(`{"now":{"link":"/x","retry_s":1,"steps":[{"stage":"announced","at_ms":1},{"stage":"warned","at_ms":2},` +
 			`{"stage":"ended","at_ms":3,"need":{"above":1,"times":1,"for_ms":0}}],"harm":{}}}`)},
 	} {
 		w := &record.Write{ID: fmt.Sprint("w", i), By: "root", Base: p.r.Version(), Changes: []record.Change{c}}
 		if i == 0 {
-			continue // with the next one: the root needs its team
+			continue // written with the next change, as the root namespace and its team need each other
 		} else if i == 1 {
 			w.Changes = append(w.Changes, record.Change{Kind: rules.TeamKind, Key: "root", Value: []byte(`{"now":{}}`)})
 		}
@@ -78,16 +78,16 @@
 	return p
 }
 
-// Whatever is lost, unknown, late or folded meanwhile, the record never has more than was counted; and all of it at the end, but for what an
-// unknown answer before a fold leaves open.
-func TestReportsErrLow(t *testing.T) {
+// Guards against calls that are reported twice: after lost writes, unknown results, or counts that were folded meanwhile, the record must
+// never hold more than was counted. At the end it must hold all of it, unless the result of a write was unknown.
+func TestReportsNeverOvercount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlant(t)
+		p := newLossyRecord(t)
 		r := New(Config{Member: p, Process: "a", Log: logging.Discard()})
 		reader := &retire.Reader{}
-		now, n, open := int64(1000), 0, false
+		now, n, uncertain := int64(1000), 0, false
 		sums := func() retire.Use {
-			s, err := reader.Sums(p.r.View(), key)
+			s, err := reader.Sums(p.r.View(), timelineKey)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -96,7 +96,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "actions") {
 			switch do := rapid.SampledFrom([]string{"call", "call", "report", "report", "lost", "unknown", "time", "fold"}).Draw(t, "do"); do {
 			case "call":
-				c := r.Line(key).Of(rapid.SampledFrom([]string{"app", "web", "No Name"}).Draw(t, "caller"))
+				c := r.Line(timelineKey).Of(rapid.SampledFrom([]string{"app", "web", "No Name"}).Draw(t, "caller"))
 				c.Called()
 				switch rapid.IntRange(0, 2).Draw(t, "then") {
 				case 0:
@@ -105,8 +105,8 @@
 					c.Shed(7)
 				}
 			case "report", "lost", "unknown":
-				p.do = map[string]string{"report": "", "lost": "lost", "unknown": "unknown"}[do]
-				open = open || do == "unknown"
+				p.fault = map[string]string{"report": "", "lost": "lost", "unknown": "unknown"}[do]
+				uncertain = uncertain || do == "unknown"
 				r.Report(t.Context())
 			case "time":
 				now += rapid.SampledFrom([]int64{1000, 100_000, retire.QuietMs + 2*retire.UseLeadMs}).Draw(t, "ms")
@@ -124,26 +124,26 @@
 					}
 				}
 			}
-			all, got := r.Line(key).snapshot(), sums()
+			all, got := r.Line(timelineKey).snapshot(), sums()
 			for _, c := range append(all.Callers, all.Others) {
-				have := got.Others
+				recorded := got.Others
 				if c.Caller != "" {
-					have = got.Of(c.Caller)
+					recorded = got.Of(c.Caller)
 				}
-				if have.Calls > c.Calls || have.Warned > c.Warned || have.Shed > c.Shed || have.Worth > c.Worth {
-					t.Fatalf("%+v is more than %+v", have, c)
+				if recorded.Calls > c.Calls || recorded.Warned > c.Warned || recorded.Shed > c.Shed || recorded.Worth > c.Worth {
+					t.Fatalf("recorded %+v, counted only %+v", recorded, c)
 				}
 			}
 		}
-		p.do = ""
-		for range 4 { // what was refused or folded is told by a new incarnation
+		p.fault = ""
+		for range 4 { // a new incarnation reports what was refused or folded
 			now += 1000
 			p.clock(now)
 			r.Report(t.Context())
 		}
-		l := r.Line(key).snapshot()
-		if got, want := sums(), l; !open && got.Total().Calls != want.Total().Calls {
-			t.Fatalf("%+v, not %+v", got, want)
+		l := r.Line(timelineKey).snapshot()
+		if got, want := sums(), l; !uncertain && got.Total().Calls != want.Total().Calls {
+			t.Fatalf("recorded %+v, want %+v", got, want)
 		}
 	})
 }
@@ -167,6 +167,6 @@
 		t.Fatal(diff)
 	}
 	if n := testing.AllocsPerRun(100, func() { l.Of("caller1").Called(); l.Of("somebody-else").Called() }); n != 0 {
-		t.Fatalf("%g allocations a call", n)
+		t.Fatalf("%g allocations per call", n)
 	}
 }
