--- a/internal/limits/bucket.go
+++ b/internal/limits/bucket.go
@@ -112,7 +112,8 @@
 	if (b.reportedDemand == 0) != (b.smoothDemand == 0) && b.amount < b.unit() {
 		return true
 	}
-	return math.Abs(b.smoothDemand-b.reportedDemand) > 0.1*b.reportedDemand+2*demandNoise(b.smoothDemand, b.reportedDemand) && (b.smoothDemand*float64(b.unit()) > float64(b.amount) || b.smoothDemand < b.reportedDemand)
+	return math.Abs(b.smoothDemand-b.reportedDemand) > 0.1*b.reportedDemand+2*demandNoise(b.smoothDemand, b.reportedDemand) &&
+		(b.smoothDemand*float64(b.unit()) > float64(b.amount) || b.smoothDemand < b.reportedDemand)
 }
 
 // unit returns one call in the limit's unit.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -57,7 +57,8 @@
 
 // New returns Limits without leases, for a process that starts now.
 func New(config Config) *Limits {
-	l := &Limits{config: config, log: config.Log, clockBase: time.Now(), clockOffset: monotonicTime(), buckets: map[string]*bucket{}, draining: map[string]*bucket{}}
+	l := &Limits{config: config, log: config.Log, clockBase: time.Now(), clockOffset: monotonicTime(),
+		buckets: map[string]*bucket{}, draining: map[string]*bucket{}}
 	if l.log == nil {
 		l.log = logging.Discard()
 	}
