--- a/internal/clustertest/mutants/limits.go
+++ b/internal/clustertest/mutants/limits.go
@@ -11,7 +11,7 @@
 func ofLimits() []Mutant {
 	const holder, book, state = "lease/holder.go", "lease/book.go", "rules/state.go"
 	late := mutant("lease-after-its-end", "a process goes by a lease that has ended", []h.Promise{h.Leased},
-		edit(holder, "return now < l.expiresAt[0] && wall < l.expiresAt[1] }", "return l.expiresAt[0] > 0 && wall > 0 && now > 0 }"))
+		edit(holder, "return now < l.expiresAt[0] && wall < l.expiresAt[1]", "return l.expiresAt[0] > 0 && wall > 0 && now > 0"))
 	late.Plan = lateWakers
 	forgot := mutant("leases-of-one-leader", "who leads next counts nothing of what the leader before has given", []h.Promise{h.Leased},
 		edit(book, "	if kind == Calls {\n		return grantLifetime(MostTail)\n	}\n	return grantLifetime(0)\n", "	if kind == Calls {\n		return 0\n	}\n	return 0\n"))
