--- a/internal/program/bench_test.go
+++ b/internal/program/bench_test.go
@@ -16,9 +16,9 @@
 // BenchmarkCall is one call through a whole sidecar on loopback, over kept connections, to a worker that answers at
 // once: what the sidecar itself costs, without a cluster and as its only voter.
 func BenchmarkCall(b *testing.B) {
-	for name, cluster := range map[string]*ClusterConfig{"without": nil, "voter": onlyVoter(b)} {
+	for name, cluster := range map[string]*ClusterConfig{"without": nil, "voter": singleVoterConfig(b)} {
 		b.Run(name, func(b *testing.B) {
-			call := open(b, cluster).run()
+			call := newTestSidecar(b, cluster).startCalls()
 			b.ReportAllocs()
 			for b.Loop() {
 				call()
@@ -28,17 +28,17 @@
 }
 
 // onlyVoter is a cluster of one.
-func onlyVoter(tb testing.TB) *ClusterConfig {
+func singleVoterConfig(tb testing.TB) *ClusterConfig {
 	return &ClusterConfig{Name: "c", Member: "v", Listen: "127.0.0.1:0", Folder: tb.TempDir(), Voters: []ClusterPeer{{Name: "v", Addr: "127.0.0.1:1"}}}
 }
 
 // opened is a sidecar that listens and does not run yet, with one worker.
-type opened struct {
+type testSidecar struct {
 	testing.TB
 	*Sidecar
 }
 
-func open(tb testing.TB, cluster *ClusterConfig) *opened {
+func newTestSidecar(tb testing.TB, cluster *ClusterConfig) *testSidecar {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -70,8 +70,8 @@
 	c := &Config{Listen: "127.0.0.1:0", Registry: "127.0.0.1:1"}
 	text := fmt.Sprintf(`{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":256},"discovery":"127.0.0.1:1",
 		"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"zone":"hall-a","machineType":"new","lifecycle":"up",
-		"weight":1,"startedAtMs":0}]},"settings":%s}`, ln.Addr(), settings)
-	if _, err := c.parse([]byte(text)); err != nil {
+		"weight":1,"startedAtMs":0}]},"settings":%s}`, ln.Addr(), jsonSettings)
+	if _, err := c.parseJSON([]byte(text)); err != nil {
 		tb.Fatal(err)
 	}
 	c.Cluster = cluster
@@ -79,19 +79,19 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return &opened{tb, sidecar}
+	return &testSidecar{tb, sidecar}
 }
 
 // run has the sidecar serve until the test ends, and gives what makes one call.
-func (o *opened) run() (call func()) {
+func (s *testSidecar) startCalls() (call func()) {
 	signals := make(chan os.Signal, 1)
 	done := make(chan struct{})
-	go func() { defer close(done); o.Run(signals) }()
-	client, err := net.Dial("tcp", o.Addr().String())
+	go func() { defer close(done); s.Run(signals) }()
+	client, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
-		o.Fatal(err)
+		s.Fatal(err)
 	}
-	o.Cleanup(func() { client.Close(); signals <- syscall.SIGTERM; <-done })
+	s.Cleanup(func() { client.Close(); signals <- syscall.SIGTERM; <-done })
 	r := bufio.NewReader(client)
 	n := 0
 	return func() {
@@ -99,7 +99,7 @@
 		fmt.Fprintf(client, "GET /availability/x HTTP/1.1\r\nX-Trace-Id: %d\r\nX-Qos: availability\r\nX-Expires-In: 2000m\r\n\r\n", n)
 		a, err := http.ReadResponse(r, nil)
 		if err != nil || a.StatusCode != 200 {
-			o.Fatal(err, a)
+			s.Fatal(err, a)
 		}
 		a.Body.Close()
 	}
--- a/internal/program/leaving_test.go
+++ b/internal/program/client_disconnect_test.go
@@ -6,58 +6,58 @@
 )
 
 // A client that has gone is served no more, whatever it has sent ahead of its end.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	const (
-		booking = `
+		openBooking = `
 			a send POST /booking/x id=t1 expires=60000m body=b
 			w1 expect POST /booking/x id=t1 body=b`
-		gone = `
+		disconnect = `
 			a close
 			w1 wait
 			b send GET /availability/y id=t9 expires=3000m
 			w2 expect GET /availability/y id=t9
 			w2 send 200 ok
 			b expect 200 ok`
-		ahead = `GET /availability/x HTTP/1.1\r\nX-Trace-Id: a<40>\r\nX-Expires-In: 3000m\r\n\r\n`
+		pipelinedCall = `GET /availability/x HTTP/1.1\r\nX-Trace-Id: a<40>\r\nX-Expires-In: 3000m\r\n\r\n`
 	)
 	for name, s := range map[string]scenario{
-		"behind a byte": {known: "0=up", script: booking + `
-			a send "G"` + gone},
+		"behind a byte": {known: "0=up", script: openBooking + `
+			a send "G"` + disconnect},
 		// The request behind the one that is open is dropped with it: the next that arrives is another client's.
-		"behind a request": {known: "0=up", script: booking + `
-			a send GET /availability/x id=t2 expires=3000m` + gone},
-		"behind more than a head": {known: "0=up", script: booking + `
-			a send "` + strings.Repeat(ahead, 200) + `"` + gone},
-		"behind more than is held": {known: "0=up", script: booking + `
-			a send "` + strings.Repeat(ahead, 2000) + `"` + gone},
+		"behind a request": {known: "0=up", script: openBooking + `
+			a send GET /availability/x id=t2 expires=3000m` + disconnect},
+		"behind more than a head": {known: "0=up", script: openBooking + `
+			a send "` + strings.Repeat(pipelinedCall, 200) + `"` + disconnect},
+		"behind more than is held": {known: "0=up", script: openBooking + `
+			a send "` + strings.Repeat(pipelinedCall, 2000) + `"` + disconnect},
 		"behind a long body": {known: "0=up", script: `
 			a send "POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 100000\r\n\r\n<100000>G"
 			w1 expect begins POST /booking/x
-			w1 expect POST /booking/x id=t1 body=<100000>` + gone},
+			w1 expect POST /booking/x id=t1 body=<100000>` + disconnect},
 		// A request that waits in the module for a worker is dropped with its client.
 		"while nobody can serve": {known: "0=draining", script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			a send "POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 1\r\n\r\nbG"
 			b send "GET /_health HTTP/1.1\r\n\r\n"
 			b expect 503
 			a close
 			registry send 2 0=up
-			registry expect GET /catalog/members?since=2&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=2&timeout_ms=RANDOM
 			c send GET /availability/y id=t9 expires=3000m
 			w1 expect GET /availability/y id=t9`},
 	} {
-		t.Run(name, func(t *testing.T) { t.Parallel(); play(t, s) })
+		t.Run(name, func(t *testing.T) { t.Parallel(); playScenario(t, s) })
 	}
 }
 
 // Requests that come together, and more of them than a head's buffer holds, each get their own answer in their order.
-func TestSentAhead(t *testing.T) {
+func TestPipelinedCalls(t *testing.T) {
 	var requests, answers strings.Builder
 	for range 100 {
 		requests.WriteString(`GET /nothing/` + strings.Repeat("x", 100) + ` HTTP/1.1\r\n\r\n`)
 		answers.WriteString("\na expect 400")
 	}
-	play(t, scenario{known: "0=up", script: `
+	playScenario(t, scenario{known: "0=up", script: `
 		a send GET /availability/x id=t1 expires=3000m
 		w1 expect GET /availability/x id=t1
 		a send "` + requests.String() + `"
--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -14,30 +14,30 @@
 	"burlpass/internal/orders"
 )
 
-// member is this process's part in a cluster.
-type member interface {
+// clusterMember is this process's part in a cluster.
+type clusterMember interface {
 	orders.Member
 	limits.Member
 	Close() error
 }
 
-// orderTime is for an order to be agreed on while the door's caller waits; the rest of a second is for the way back.
-const orderTime = operator.OrderTime - 100*time.Millisecond
+// orderTimeout is for an order to be agreed on while the door's caller waits; the rest of a second is for the way back.
+const orderTimeout = operator.OrderTime - 100*time.Millisecond
 
 // startOrders makes the cluster's orders hold at the router until ctx is done. Without a cluster it does nothing.
-func (s *Sidecar) startOrders(ctx context.Context, o *operations, start maintenance.Set) {
+func (s *Sidecar) startOrders(ctx context.Context, handler *adminHandler, start maintenance.Set) {
 	if s.member == nil {
 		return
 	}
-	o.orders = orders.New(orders.Config{Member: s.member, By: s.config.Cluster.Member + "/door", Start: start, Log: s.log,
+	handler.orders = orders.New(orders.Config{Member: s.member, By: s.config.Cluster.Member + "/door", Start: start, Log: s.log,
 		Apply: func(set maintenance.Set) {
-			o.follow(set)
+			handler.applyClusterSet(set)
 			s.log.Info("maintenance", "out", set.IDs(), "halls", set.Halls())
 		},
 		Load: func() ([]byte, error) { return os.ReadFile(s.ordersPath()) },
-		Save: func(b []byte) error { return replaceFile(s.ordersPath(), b) },
+		Save: func(b []byte) error { return writeFileAtomic(s.ordersPath(), b) },
 	})
-	go o.orders.Run(ctx)
+	go handler.orders.Run(ctx)
 }
 
 // ordersPath is the file of orders that are not agreed on yet: in the member's folder, or beside what is kept of maintenance.
@@ -50,21 +50,21 @@
 	return filepath.Join(folder, "burlpass-"+s.config.Name+".orders")
 }
 
-// order carries out an order through the cluster.
-func (o *operations) order(c operator.Command) (string, error) {
-	var known error
-	to := orders.Worker(c.ID)
-	if c.Verb == operator.DisableHall || c.Verb == operator.EnableHall {
-		known, to = o.router.KnownHall(c.ID), orders.Hall(c.ID)
+// orderViaCluster carries out an orderViaCluster through the cluster.
+func (h *adminHandler) orderViaCluster(command operator.Command) (string, error) {
+	var lookupErr error
+	target := orders.Worker(command.ID)
+	if command.Verb == operator.DisableHall || command.Verb == operator.EnableHall {
+		lookupErr, target = h.router.KnownHall(command.ID), orders.Hall(command.ID)
 	} else {
-		known = o.router.Known(c.ID)
+		lookupErr = h.router.Known(command.ID)
 	}
-	if known != nil {
-		return "", known
+	if lookupErr != nil {
+		return "", lookupErr
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	return o.orders.Order(ctx, to, c.Verb == operator.Disable || c.Verb == operator.DisableHall), nil
+	return h.orders.Order(ctx, target, command.Verb == operator.Disable || command.Verb == operator.DisableHall), nil
 }
 
 // closeMember ends this process's part in the cluster.
@@ -78,9 +78,9 @@
 }
 
 // openMember opens it where the configuration has one.
-func openMember(c *Config, logger *slog.Logger) (member, error) {
-	if c.Cluster == nil {
+func openMember(config *Config, logger *slog.Logger) (clusterMember, error) {
+	if config.Cluster == nil {
 		return nil, nil
 	}
-	return openCluster(c.Cluster, logger)
+	return openCluster(config.Cluster, logger)
 }
--- a/internal/program/cluster_config.go
+++ b/internal/program/cluster_config.go
@@ -38,130 +38,130 @@
 }
 
 // Voting says whether this member is one of the voters; else it is an observer.
-func (k *ClusterConfig) Voting() bool {
-	for _, v := range k.Voters {
-		if v.Name == k.Member {
+func (c *ClusterConfig) Voting() bool {
+	for _, v := range c.Voters {
+		if v.Name == c.Member {
 			return true
 		}
 	}
 	return false
 }
 
-const mostVoters = 7
+const maxVoters = 7
 
-var memberName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+var memberNamePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// bound is an address that the sidecar has beside the cluster's, and its key.
-type bound struct{ key, addr string }
+// configuredAddress is an address that the sidecar has beside the cluster's, and its key.
+type configuredAddress struct{ key, addr string }
 
 // check tells what is wrong with the section; others are the sidecar's further addresses. The folder is looked at
 // where that is asked for.
-func (k *ClusterConfig) check(f *config.File, others []bound, folder bool) {
-	r := roster{f: f, own: k, names: map[string]string{}, addrs: map[netip.AddrPort]string{}}
-	r.name("cluster.name", k.Name)
-	r.name("cluster.member", k.Member)
-	if r.listen = r.addr("cluster.listen", k.Listen); r.listen.IsValid() {
-		for _, o := range others {
-			if taken(r.listen, o) {
-				f.Fail("cluster.listen", "%s is the sidecar's %s already; an address of its own is expected", k.Listen, o.key)
+func (c *ClusterConfig) check(file *config.File, others []configuredAddress, checkDir bool) {
+	checker := memberChecker{file: file, cluster: c, roleByName: map[string]string{}, ownerByAddr: map[netip.AddrPort]string{}}
+	checker.checkName("cluster.name", c.Name)
+	checker.checkName("cluster.member", c.Member)
+	if checker.listen = checker.checkAddr("cluster.listen", c.Listen); checker.listen.IsValid() {
+		for _, other := range others {
+			if conflictsWith(checker.listen, other) {
+				file.Fail("cluster.listen", "%s is the sidecar's %s already; an address of its own is expected", c.Listen, other.key)
 			}
 		}
 	}
-	k.RulesConfig.check(f)
-	for i, v := range k.Voters {
-		r.peer(fmt.Sprintf("cluster.voters[%d]", i), v, "voter")
+	c.RulesConfig.check(file)
+	for i, voter := range c.Voters {
+		checker.checkPeer(fmt.Sprintf("cluster.voters[%d]", i), voter, "voter")
 	}
-	for i, o := range k.Follow {
-		r.peer(fmt.Sprintf("cluster.follow[%d]", i), o, "observer")
+	for i, observer := range c.Follow {
+		checker.checkPeer(fmt.Sprintf("cluster.follow[%d]", i), observer, "observer")
 	}
-	if n := len(k.Voters); (n%2 == 0 || n > mostVoters) && !f.Failed("cluster.voters") {
-		f.Fail("cluster.voters", "%d voters; 1, 3, 5 or 7 are expected", n)
+	if n := len(c.Voters); (n%2 == 0 || n > maxVoters) && !file.Failed("cluster.voters") {
+		file.Fail("cluster.voters", "%d voters; 1, 3, 5 or 7 are expected", n)
 	}
 	switch {
-	case f.Failed("cluster.folder"):
-	case k.Folder == "" && k.Voting():
-		f.Fail("cluster.folder", "missing; %q is a voter, which needs one", k.Member)
-	case k.Folder != "" && folder:
-		if err := checkFolder(k.Folder); err != nil {
-			f.Fail("cluster.folder", "%v", err)
+	case file.Failed("cluster.folder"):
+	case c.Folder == "" && c.Voting():
+		file.Fail("cluster.folder", "missing; %q is a voter, which needs one", c.Member)
+	case c.Folder != "" && checkDir:
+		if err := checkWritableDir(c.Folder); err != nil {
+			file.Fail("cluster.folder", "%v", err)
 		}
 	}
 }
 
-// roster is what has been seen of a section while it is checked.
-type roster struct {
-	f      *config.File
-	own    *ClusterConfig
-	listen netip.AddrPort
-	names  map[string]string // what has the name: voter or observer
-	addrs  map[netip.AddrPort]string
+// memberChecker is what has been seen of a section while it is checked.
+type memberChecker struct {
+	file        *config.File
+	cluster     *ClusterConfig
+	listen      netip.AddrPort
+	roleByName  map[string]string // what has the name: voter or observer
+	ownerByAddr map[netip.AddrPort]string
 }
 
-// name checks how a name is written; false where it is not to be looked at any further.
-func (r *roster) name(key, name string) bool {
-	if r.f.Failed(key) {
+// checkName checks how a checkName is written; false where it is not to be looked at any further.
+func (m *memberChecker) checkName(key, name string) bool {
+	if m.file.Failed(key) {
 		return false
 	}
-	if !memberName.MatchString(name) {
-		r.f.Fail(key, "%q: 1 to 64 letters, digits, '.', '_' and '-' are expected", name)
+	if !memberNamePattern.MatchString(name) {
+		m.file.Fail(key, "%q: 1 to 64 letters, digits, '.', '_' and '-' are expected", name)
 		return false
 	}
 	return true
 }
 
-// addr checks how an address is written; the result is not valid where it is not to be looked at any further.
-func (r *roster) addr(key, addr string) netip.AddrPort {
-	if r.f.Failed(key) {
+// checkAddr checks how an address is written; the result is not valid where it is not to be looked at any further.
+func (m *memberChecker) checkAddr(key, addr string) netip.AddrPort {
+	if m.file.Failed(key) {
 		return netip.AddrPort{}
 	}
-	a, err := netip.ParseAddrPort(addr)
-	if err != nil || !a.Addr().Is4() {
-		r.f.Fail(key, "%q: an IPv4 address and a port are expected, such as 127.0.0.1:7101", addr)
+	parsed, err := netip.ParseAddrPort(addr)
+	if err != nil || !parsed.Addr().Is4() {
+		m.file.Fail(key, "%q: an IPv4 address and a port are expected, such as 127.0.0.1:7101", addr)
 		return netip.AddrPort{}
 	}
-	return a
+	return parsed
 }
 
-func (r *roster) peer(key string, p ClusterPeer, role string) {
-	if name := key + ".name"; r.name(name, p.Name) {
-		switch before, seen := r.names[p.Name]; {
-		case before == role:
-			r.f.Fail(name, "%q stands twice", p.Name)
+func (m *memberChecker) checkPeer(key string, p ClusterPeer, role string) {
+	if nameKey := key + ".name"; m.checkName(nameKey, p.Name) {
+		switch knownRole, seen := m.roleByName[p.Name]; {
+		case knownRole == role:
+			m.file.Fail(nameKey, "%q stands twice", p.Name)
 		case seen:
-			r.f.Fail(name, "%q is a %s; an observer is expected", p.Name, before)
-		case role == "observer" && p.Name == r.own.Member:
-			r.f.Fail(name, "%q is this member itself", p.Name)
+			m.file.Fail(nameKey, "%q is a %s; an observer is expected", p.Name, knownRole)
+		case role == "observer" && p.Name == m.cluster.Member:
+			m.file.Fail(nameKey, "%q is this member itself", p.Name)
 		default:
-			r.names[p.Name] = role
+			m.roleByName[p.Name] = role
 		}
 	}
-	at := key + ".addr"
-	a := r.addr(at, p.Addr)
-	switch before := r.addrs[a]; {
-	case !a.IsValid():
-	case a.Port() == 0 || a.Addr().IsUnspecified():
-		r.f.Fail(at, "%s is no address that can be reached", p.Addr)
-	case before != "":
-		r.f.Fail(at, "%s is the address of %q already", p.Addr, before)
-	case a == r.listen && p.Name != r.own.Member && !r.f.Failed("cluster.member"):
-		r.f.Fail(at, "%s is where this member itself listens", p.Addr)
+	addrKey := key + ".addr"
+	parsed := m.checkAddr(addrKey, p.Addr)
+	switch owner := m.ownerByAddr[parsed]; {
+	case !parsed.IsValid():
+	case parsed.Port() == 0 || parsed.Addr().IsUnspecified():
+		m.file.Fail(addrKey, "%s is no address that can be reached", p.Addr)
+	case owner != "":
+		m.file.Fail(addrKey, "%s is the address of %q already", p.Addr, owner)
+	case parsed == m.listen && p.Name != m.cluster.Member && !m.file.Failed("cluster.member"):
+		m.file.Fail(addrKey, "%s is where this member itself listens", p.Addr)
 	default:
-		r.addrs[a] = cmp.Or(p.Name, key)
+		m.ownerByAddr[parsed] = cmp.Or(p.Name, key)
 	}
 }
 
-// taken says whether listening on a meets another of the sidecar's addresses. Only the registry's is not listened on.
-func taken(a netip.AddrPort, o bound) bool {
-	b, err := netip.ParseAddrPort(o.addr)
-	if err != nil || a.Port() == 0 || a.Port() != b.Port() {
+// conflictsWith says whether listening on a meets another of the sidecar's addresses. Only the registry's is not listened on.
+func conflictsWith(listen netip.AddrPort, other configuredAddress) bool {
+	otherAddr, err := netip.ParseAddrPort(other.addr)
+	if err != nil || listen.Port() == 0 || listen.Port() != otherAddr.Port() {
 		return false
 	}
-	every := a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
-	return a.Addr() == b.Addr() || every && o.key != "registry"
+	wildcard := listen.Addr().IsUnspecified() || otherAddr.Addr().IsUnspecified()
+	return listen.Addr() == otherAddr.Addr() || wildcard && other.key != "registry"
 }
 
-// checkFolder says what is wrong with a folder that is to be written to. The trial leaves nothing behind.
-func checkFolder(path string) error {
+// checkWritableDir says what is wrong with a folder that is to be written to. The trial leaves nothing behind.
+func checkWritableDir(path string) error {
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -171,13 +171,13 @@
 	case !info.IsDir():
 		return fmt.Errorf("%q is no folder", path)
 	}
-	trial, err := os.CreateTemp(path, ".burlpass-trial-*")
+	probeFile, err := os.CreateTemp(path, ".burlpass-trial-*")
 	if err != nil {
-		var why *fs.PathError
-		if errors.As(err, &why) {
-			err = why.Err
+		var pathErr *fs.PathError
+		if errors.As(err, &pathErr) {
+			err = pathErr.Err
 		}
 		return fmt.Errorf("%q cannot be written to: %w", path, err)
 	}
-	return errors.Join(trial.Close(), os.Remove(trial.Name()))
+	return errors.Join(probeFile.Close(), os.Remove(probeFile.Name()))
 }
--- a/internal/program/cluster_config_test.go
+++ b/internal/program/cluster_config_test.go
@@ -11,20 +11,20 @@
 )
 
 // The five lines before a [cluster] section in these tests; listen is 127.0.0.1:3000, registry 127.0.0.1:8500.
-const alone = "operator = \"127.0.0.1:3001\"\nzone = \"a\"\nzones = [\"a\"]\n" +
+const baseTOML = "operator = \"127.0.0.1:3001\"\nzone = \"a\"\nzones = [\"a\"]\n" +
 	"class = [{ name = \"p\", effect = \"safe\", aim = \"1s\", deadline = \"1s\" }]\n\n"
 
-func clusterFile(t *testing.T, section string) string {
+func writeClusterFile(t *testing.T, clusterText string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(path, []byte(alone+section), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(baseTOML+clusterText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
 // section writes a [cluster] section of its eight lines, 6 to 12 of the file, with one part replaced.
-func section(folder, from, to string) string {
+func clusterSection(folder, from, to string) string {
 	return strings.Replace(fmt.Sprintf(`[cluster]
 name = "athens"
 member = "v1"
@@ -40,7 +40,7 @@
 	want := &ClusterConfig{Name: "athens", Member: "v1", Listen: "127.0.0.1:7101", Folder: folder,
 		Voters: []ClusterPeer{{"v1", "127.0.0.1:7101"}, {"v2", "127.0.0.1:7102"}, {"v3", "127.0.0.1:7103"}},
 		Follow: []ClusterPeer{{"o1", "127.0.0.1:7111"}}}
-	c, err := LoadFile(clusterFile(t, section(folder, "", "")))
+	c, err := LoadFile(writeClusterFile(t, clusterSection(folder, "", "")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,30 +50,30 @@
 	if left, err := os.ReadDir(folder); err != nil || len(left) > 0 {
 		t.Errorf("the trial left %v, %v", left, err)
 	}
-	c, err = LoadFile(clusterFile(t, section("", "\"v1\"\nlisten = \"127.0.0.1:7101\"", "\"o2\"\nlisten = \"127.0.0.1:7112\"")))
+	c, err = LoadFile(writeClusterFile(t, clusterSection("", "\"v1\"\nlisten = \"127.0.0.1:7101\"", "\"o2\"\nlisten = \"127.0.0.1:7112\"")))
 	if err != nil || c.Cluster.Voting() || c.Cluster.Folder != "" {
 		t.Errorf("an observer without a folder: %+v, %v", c, err)
 	}
-	if c, err = LoadFile(clusterFile(t, "")); err != nil || c.Cluster != nil {
+	if c, err = LoadFile(writeClusterFile(t, "")); err != nil || c.Cluster != nil {
 		t.Errorf("without a section: %v, %v", c, err)
 	}
 	json := Config{Path: "a.json"}
-	if _, err = json.parse([]byte(strings.Replace(file, "{", `{"cluster":{"name":5},`, 1))); err != nil || json.Cluster != nil {
+	if _, err = json.parseJSON([]byte(strings.Replace(jsonConfig, "{", `{"cluster":{"name":5},`, 1))); err != nil || json.Cluster != nil {
 		t.Errorf("the platform's form: %v, %v", json.Cluster, err)
 	}
 }
 
 // Every fault of the section is told in one line, with its place.
-func TestClusterFaults(t *testing.T) {
+func TestClusterSectionFaults(t *testing.T) {
 	folder := t.TempDir()
-	plain := filepath.Join(folder, "plain")
-	if err := os.WriteFile(plain, nil, 0o600); err != nil {
+	plainFile := filepath.Join(folder, "plain")
+	if err := os.WriteFile(plainFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	deep := folder // so deep that no further name fits, which also root cannot write past
+	deepDir := folder // so deep that no further name fits, which also root cannot write past
 	for n := 200; n > 0; {
-		if next := filepath.Join(deep, strings.Repeat("d", n)); os.Mkdir(next, 0o700) == nil {
-			deep = next
+		if next := filepath.Join(deepDir, strings.Repeat("d", n)); os.Mkdir(next, 0o700) == nil {
+			deepDir = next
 		} else {
 			n /= 2
 		}
@@ -88,9 +88,9 @@
 		"seven voters": {`{name="v3"`, `{name="v4", addr="127.0.0.1:7104"}, {name="v5", addr="127.0.0.1:7105"}, ` +
 			`{name="v6", addr="127.0.0.1:7106"}, {name="v7", addr="127.0.0.1:7107"}, {name="v3"`, nil},
 		"any free port": {`listen = "127.0.0.1:7101"`, `listen = "0.0.0.0:0"`, nil},
-		"nothing": {section(folder, "", ""), "[cluster]\n", []string{"6:2: cluster.name: missing", "6:2: cluster.member: missing",
+		"nothing": {clusterSection(folder, "", ""), "[cluster]\n", []string{"6:2: cluster.name: missing", "6:2: cluster.member: missing",
 			"6:2: cluster.listen: missing", "6:2: cluster.voters: missing"}},
-		"no table":       {section(folder, "", ""), "cluster = 3", []string{"6:1: cluster: 3: a table is expected"}},
+		"no table":       {clusterSection(folder, "", ""), "cluster = 3", []string{"6:1: cluster: 3: a table is expected"}},
 		"unknown":        {"follow", "folow", []string{"12:1: cluster.folow: unknown key; one of name, member, listen, folder, voters, follow, rules, island, hall, caller, version, version_segment, under_way is expected"}},
 		"unknown inside": {`name="v2",`, `name="v2", port=1,`, []string{"11:60: cluster.voters[1].port: unknown key; one of name, addr is expected"}},
 		"name": {`"athens"`, `"a b"`,
@@ -100,7 +100,7 @@
 		"two lines":  {`"athens"`, `"a\nb"`, []string{`7:1: cluster.name: "a\nb": 1 to 64`}},
 		"type":       {`"athens"`, `4`, []string{`7:1: cluster.name: 4 is no text in quotes`}},
 		"member":     {`"v1"`, `"v/1"`, []string{`8:1: cluster.member: "v/1": 1 to 64`}},
-		"all at once": {section(folder, "", ""), "[cluster]\nname = \"\"\nmember = \"o1\"\nlisten = \"here\"\n" +
+		"all at once": {clusterSection(folder, "", ""), "[cluster]\nname = \"\"\nmember = \"o1\"\nlisten = \"here\"\n" +
 			"[[cluster.voters]]\nname = \"v 1\"\naddr = \"::1\"\n[[cluster.voters]]\naddr = \"127.0.0.1:2\"\n",
 			[]string{`7:1: cluster.name: ""`, `9:1: cluster.listen: "here"`, `10:11: cluster.voters: 2 voters`,
 				`11:1: cluster.voters[0].name: "v 1"`, `12:1: cluster.voters[0].addr: "::1"`, "13:11: cluster.voters[1].name: missing"}},
@@ -117,7 +117,7 @@
 		"voter twice":     {`"v3"`, `"v2"`, []string{`11:85: cluster.voters[2].name: "v2" stands twice`}},
 		"address twice":   {`"127.0.0.1:7103"`, `"127.0.0.1:7102"`, []string{`11:96: cluster.voters[2].addr: 127.0.0.1:7102 is the address of "v2" already`}},
 		"no address":      {`, addr="127.0.0.1:7103"`, ``, []string{`11:84: cluster.voters[2].addr: missing`}},
-		"no voters":       {section(folder, "", "")[strings.Index(section(folder, "", ""), "voters"):], "voters = []", []string{"11:1: cluster.voters: 0 voters; 1, 3, 5 or 7 are expected"}},
+		"no voters":       {clusterSection(folder, "", "")[strings.Index(clusterSection(folder, "", ""), "voters"):], "voters = []", []string{"11:1: cluster.voters: 0 voters; 1, 3, 5 or 7 are expected"}},
 		"two voters":      {`, {name="v3", addr="127.0.0.1:7103"}`, ``, []string{"11:1: cluster.voters: 2 voters; 1, 3, 5 or 7 are expected"}},
 		"nine voters": {`{name="v3"`, `{name="v4", addr="127.0.0.1:1"}, {name="v5", addr="127.0.0.1:2"}, {name="v6", addr="127.0.0.1:3"}, ` +
 			`{name="v7", addr="127.0.0.1:4"}, {name="v8", addr="127.0.0.1:5"}, {name="v9", addr="127.0.0.1:6"}, {name="v3"`,
@@ -128,10 +128,10 @@
 		"observer twice":    {`{name="o1"`, `{name="o1", addr="127.0.0.1:1"}, {name="o1"`, []string{`12:46: cluster.follow[1].name: "o1" stands twice`}},
 		"no folder":         {fmt.Sprintf("folder = %q", folder), "", []string{`6:2: cluster.folder: missing; "v1" is a voter, which needs one`}},
 		"folder missing":    {folder, folder + "/none", []string{`10:1: cluster.folder: "` + folder + `/none" does not exist; a folder that belongs`}},
-		"folder of no kind": {folder, plain, []string{`10:1: cluster.folder: "` + plain + `" is no folder`}},
-		"folder read-only":  {folder, deep, []string{`10:1: cluster.folder: "` + deep + `" cannot be written to: `}},
+		"folder of no kind": {folder, plainFile, []string{`10:1: cluster.folder: "` + plainFile + `" is no folder`}},
+		"folder read-only":  {folder, deepDir, []string{`10:1: cluster.folder: "` + deepDir + `" cannot be written to: `}},
 	} {
-		path := clusterFile(t, section(folder, test.from, test.to))
+		path := writeClusterFile(t, clusterSection(folder, test.from, test.to))
 		faults, err := Check(path)
 		if err != nil {
 			t.Fatal(err)
@@ -151,9 +151,9 @@
 }
 
 // The variables' addresses count in place of the file's.
-func TestClusterBesideVariables(t *testing.T) {
+func TestClusterAddressesFromEnvironment(t *testing.T) {
 	folder := t.TempDir()
-	path := clusterFile(t, section(folder, `listen = "127.0.0.1:7101"`, `listen = "127.0.0.1:3000"`))
+	path := writeClusterFile(t, clusterSection(folder, `listen = "127.0.0.1:7101"`, `listen = "127.0.0.1:3000"`))
 	env := map[string]string{"EDGE_NAME": "n0", "EDGE_LISTEN": "127.0.0.1:4000", "EDGE_DISCOVERY": "127.0.0.1:1",
 		"EDGE_OPERATOR": "127.0.0.1:4001", "EDGE_CONFIG": path}
 	for _, test := range []struct{ key, value, want string }{
@@ -174,35 +174,35 @@
 func TestClusterReload(t *testing.T) {
 	folder := t.TempDir()
 	for _, test := range []struct{ from, to, want string }{
-		{"", "", ""}, {section(folder, "", ""), "", "cluster"}, {"7111", "7112", "cluster"}, {folder, folder + "/other", "cluster"},
+		{"", "", ""}, {clusterSection(folder, "", ""), "", "cluster"}, {"7111", "7112", "cluster"}, {folder, folder + "/other", "cluster"},
 	} {
-		path := clusterFile(t, section(folder, "", ""))
+		path := writeClusterFile(t, clusterSection(folder, "", ""))
 		c, err := LoadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, []byte(alone+section(folder, test.from, test.to)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(baseTOML+clusterSection(folder, test.from, test.to)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		next, err := c.Reload()
 		if err != nil {
 			t.Errorf("%q: %v", test.to, err)
-		} else if got := strings.Join(c.Fixed(next), ","); got != test.want {
+		} else if got := strings.Join(c.ChangesNeedingRestart(next), ","); got != test.want {
 			t.Errorf("%q: needs a new start for %q, want %q", test.to, got, test.want)
 		}
 	}
 }
 
 func FuzzTOML(f *testing.F) {
-	f.Add(alone + section("/", "", ""))
-	f.Add(alone + "[cluster]\nname='a'\nmember='b'\nlisten='1.2.3.4:5'\n[[cluster.voters]]\nname='b'\naddr='1.2.3.4:6'\n[[worker]]\n")
+	f.Add(baseTOML + clusterSection("/", "", ""))
+	f.Add(baseTOML + "[cluster]\nname='a'\nmember='b'\nlisten='1.2.3.4:5'\n[[cluster.voters]]\nname='b'\naddr='1.2.3.4:6'\n[[worker]]\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		c := Config{Path: "a.toml", again: true}
+		c := Config{Path: "a.toml", isReload: true}
 		if _, err := c.parseTOML([]byte(text)); err != nil || c.Cluster == nil {
 			return
 		}
 		k := c.Cluster
-		if len(k.Voters)%2 == 0 || len(k.Voters) > mostVoters || !memberName.MatchString(k.Name+k.Member) && len(k.Name+k.Member) <= 64 || k.Voting() && k.Folder == "" {
+		if len(k.Voters)%2 == 0 || len(k.Voters) > maxVoters || !memberNamePattern.MatchString(k.Name+k.Member) && len(k.Name+k.Member) <= 64 || k.Voting() && k.Folder == "" {
 			t.Errorf("taken: %+v of %s", k, text)
 		}
 	})
--- a/internal/program/cluster_open.go
+++ b/internal/program/cluster_open.go
@@ -13,7 +13,7 @@
 )
 
 // openCluster takes this process's part in the cluster that the configuration names.
-func openCluster(c *ClusterConfig, logger *slog.Logger) (member, error) {
+func openCluster(c *ClusterConfig, logger *slog.Logger) (clusterMember, error) {
 	signal.Ignore(syscall.SIGXFSZ) // a disk that takes no more is an error of the write; the signal would end the program
 	m, err := cluster.Open(context.Background(), cluster.Config{Name: c.Name, Member: c.Member, Listen: c.Listen, Folder: c.Folder,
 		Voters: clusterPeers(c.Voters), Follow: clusterPeers(c.Follow), Rules: c.Rules, Log: logger})
@@ -24,17 +24,17 @@
 	return m, nil
 }
 
-// expose puts what rules refuse among the figures at the cluster's address.
-func expose(m member, g *enforcement.Enforcer) {
-	if m, ok := m.(*cluster.Member); ok {
-		m.Figures().MustRegister(g)
+// registerRuleMetrics puts what rules refuse among the figures at the cluster's address.
+func registerRuleMetrics(m clusterMember, enforcer *enforcement.Enforcer) {
+	if joined, ok := m.(*cluster.Member); ok {
+		joined.Figures().MustRegister(enforcer)
 	}
 }
 
-func clusterPeers(from []ClusterPeer) []cluster.Peer {
-	to := make([]cluster.Peer, 0, len(from))
-	for _, p := range from {
-		to = append(to, cluster.Peer{Name: p.Name, Addr: p.Addr})
+func clusterPeers(peers []ClusterPeer) []cluster.Peer {
+	converted := make([]cluster.Peer, 0, len(peers))
+	for _, p := range peers {
+		converted = append(converted, cluster.Peer{Name: p.Name, Addr: p.Addr})
 	}
-	return to
+	return converted
 }
--- a/internal/program/cluster_wasip1.go
+++ b/internal/program/cluster_wasip1.go
@@ -8,8 +8,8 @@
 )
 
 // openCluster: the simulation's guest has no disk, and its network is the sidecar's alone.
-func openCluster(*ClusterConfig, *slog.Logger) (member, error) {
+func openCluster(*ClusterConfig, *slog.Logger) (clusterMember, error) {
 	return nil, errors.New("cluster: not in a simulation")
 }
 
-func expose(member, *enforcement.Enforcer) {}
+func registerRuleMetrics(clusterMember, *enforcement.Enforcer) {}
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -39,8 +39,8 @@
 	// Trace is shown every event and what the module chose, under the router's lock; nil for none.
 	Trace func(now time.Duration, e decide.Event, actions []decide.Action, name func(decide.ServerID) string)
 
-	source func() ([]byte, error) // the file's text; nil: read Path
-	again  bool                   // of a reload: the cluster's folder is in use, and is not looked at
+	readSource func() ([]byte, error) // the file's text; nil: read Path
+	isReload   bool                   // of a reload: the cluster's folder is in use, and is not looked at
 }
 
 // Limits is what the platform grants one sidecar.
@@ -61,10 +61,10 @@
 		c.Inherit, c.AcceptFD = true, n
 	}
 	for _, v := range []struct {
-		name string
-		to   *string
+		name   string
+		target *string
 	}{{"EDGE_NAME", &c.Name}, {"EDGE_LISTEN", &c.Listen}, {"EDGE_DISCOVERY", &c.Registry}, {"EDGE_CONFIG", &c.Path}} {
-		if *v.to = getenv(v.name); *v.to == "" {
+		if *v.target = getenv(v.name); *v.target == "" {
 			return nil, fmt.Errorf("%s: missing", v.name)
 		}
 	}
@@ -74,11 +74,11 @@
 		}
 	}
 	c.Operator, c.StateDir = getenv("EDGE_OPERATOR"), getenv("TMPDIR")
-	own, err := c.read()
+	fromFile, err := c.read()
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	c.Operator = cmp.Or(c.Operator, own.operator)
+	c.Operator = cmp.Or(c.Operator, fromFile.operator)
 	if c.Operator != "" {
 		if err := checkAddress(c.Operator); err != nil {
 			return nil, fmt.Errorf("EDGE_OPERATOR: %w", err)
@@ -90,7 +90,7 @@
 // Parse is Load for a sidecar that is told everything by its caller: read gives the text of the platform's JSON, also
 // at each reload.
 func Parse(name, listen, registry string, read func() ([]byte, error)) (*Config, error) {
-	c := &Config{Path: name, Name: name, Listen: listen, Registry: registry, source: read}
+	c := &Config{Path: name, Name: name, Listen: listen, Registry: registry, readSource: read}
 	if _, err := c.read(); err != nil {
 		return nil, err
 	}
@@ -100,11 +100,11 @@
 // LoadFile reads a file that says all by itself: name, listen and registry as well.
 func LoadFile(path string) (*Config, error) {
 	c := &Config{Path: path}
-	own, err := c.read()
+	fromFile, err := c.read()
 	if err != nil {
 		return nil, err
 	}
-	c.Name, c.Listen, c.Registry, c.Operator = own.name, own.listen, own.registry, own.operator
+	c.Name, c.Listen, c.Registry, c.Operator = fromFile.name, fromFile.listen, fromFile.registry, fromFile.operator
 	for _, v := range [][2]string{{"listen", c.Listen}, {"registry", c.Registry}, {"operator", c.Operator}} {
 		if v[0] == "operator" && v[1] == "" {
 			continue
@@ -131,20 +131,20 @@
 // file's; what belongs to the process stays.
 func (c *Config) Reload() (*Config, error) {
 	next := &Config{Path: c.Path, Name: c.Name, Listen: c.Listen, Operator: c.Operator, StateDir: c.StateDir, Inherit: c.Inherit, AcceptFD: c.AcceptFD,
-		source: c.source, again: true}
-	own, err := next.read()
+		readSource: c.readSource, isReload: true}
+	fromFile, err := next.read()
 	if err != nil {
 		return nil, err
 	}
-	next.Registry = own.registry
+	next.Registry = fromFile.registry
 	if err := checkAddress(next.Registry); err != nil {
 		return nil, fmt.Errorf("%s: discovery: %w", c.Path, err)
 	}
 	return next, nil
 }
 
-// Fixed names the parts in which another configuration differs and that take a new start to change.
-func (c *Config) Fixed(next *Config) (parts []string) {
+// ChangesNeedingRestart names the parts in which another configuration differs and that take a new start to change.
+func (c *Config) ChangesNeedingRestart(next *Config) (parts []string) {
 	if c.Limits != next.Limits {
 		parts = append(parts, "limits")
 	}
@@ -168,66 +168,66 @@
 }
 
 // own is what a file says of the sidecar's place; the environment overrides it.
-type own struct{ name, listen, registry, operator string }
+type instanceSettings struct{ name, listen, registry, operator string }
 
 // read takes in the file, TOML by its ending, else the platform's JSON.
-func (c *Config) read() (own, error) {
-	source := c.source
+func (c *Config) read() (instanceSettings, error) {
+	source := c.readSource
 	if source == nil {
 		source = func() ([]byte, error) { return os.ReadFile(c.Path) }
 	}
 	text, err := source()
 	if err != nil {
-		return own{}, err
+		return instanceSettings{}, err
 	}
 	if filepath.Ext(c.Path) == ".toml" {
 		return c.parseTOML(text)
 	}
-	return c.parse(text)
+	return c.parseJSON(text)
 }
 
-// places are the names under which a form of file has what check looks at.
-type places struct{ zone, class, connect, attempts, multiple, start, window, memory string }
+// settingKeys are the names under which a form of file has what check looks at.
+type settingKeys struct{ zone, classes, connectTimeout, maxAttempts, fallMultiple, startCapacity, window, memory string }
 
 // check looks for what no single value shows. Both forms of file go through it.
-func (c *Config) check(f *config.File, at places) {
+func (c *Config) check(file *config.File, keys settingKeys) {
 	if !(c.Limits.Cores > 0) {
-		f.Fail("limits.cores", "%v: more than 0 is expected", c.Limits.Cores)
+		file.Fail("limits.cores", "%v: more than 0 is expected", c.Limits.Cores)
 	}
 	if c.Limits.MemoryMB <= 0 {
-		f.Fail(at.memory, "more than 0 is expected")
+		file.Fail(keys.memory, "more than 0 is expected")
 	}
 	if c.Limits.Sockets <= 0 {
-		f.Fail("limits.sockets", "more than 0 is expected")
+		file.Fail("limits.sockets", "more than 0 is expected")
 	}
-	d := &c.Decide
-	if d.ConnectTime <= 0 {
-		f.Fail(at.connect, "more than 0 is expected: no connection would ever come up in time")
+	settings := &c.Decide
+	if settings.ConnectTime <= 0 {
+		file.Fail(keys.connectTimeout, "more than 0 is expected: no connection would ever come up in time")
 	}
-	if d.Limits.MaxAttempts < 1 {
-		f.Fail(at.attempts, "at least 1 is expected")
+	if settings.Limits.MaxAttempts < 1 {
+		file.Fail(keys.maxAttempts, "at least 1 is expected")
 	}
-	if d.Safety.FallMultiple < 1 {
-		f.Fail(at.multiple, "%v: at least 1 is expected", d.Safety.FallMultiple)
+	if settings.Safety.FallMultiple < 1 {
+		file.Fail(keys.fallMultiple, "%v: at least 1 is expected", settings.Safety.FallMultiple)
 	}
-	if d.Safety.StartShare <= 0 || d.Safety.StartShare > 1 {
-		f.Fail(at.start, "%v: above 0 and up to 1 is expected", d.Safety.StartShare)
+	if settings.Safety.StartShare <= 0 || settings.Safety.StartShare > 1 {
+		file.Fail(keys.startCapacity, "%v: above 0 and up to 1 is expected", settings.Safety.StartShare)
 	}
-	if len(d.Classes) == 0 {
-		f.Fail(at.class, "at least one class is expected")
+	if len(settings.Classes) == 0 {
+		file.Fail(keys.classes, "at least one class is expected")
 	}
-	if len(c.Names.Zones) > 0 && (d.Zone < 0 || d.Zone >= len(c.Names.Zones)) {
-		f.Fail(at.zone, "%d is no place in the list of %d", d.Zone, len(c.Names.Zones))
+	if len(c.Names.Zones) > 0 && (settings.Zone < 0 || settings.Zone >= len(c.Names.Zones)) {
+		file.Fail(keys.zone, "%d is no place in the list of %d", settings.Zone, len(c.Names.Zones))
 	}
 	seen := map[string]bool{}
 	for i, name := range c.Names.Classes {
-		key := fmt.Sprintf("%s[%d]", at.class, i)
+		key := fmt.Sprintf("%s[%d]", keys.classes, i)
 		if name == "" || strings.ContainsAny(name, "/? \t\r\n") || seen[name] {
-			f.Fail(key+".name", "%q: a name of its own that can be part of a path is expected", name)
+			file.Fail(key+".name", "%q: a name of its own that can be part of a path is expected", name)
 		}
 		seen[name] = true
-		if i < len(d.Classes) && d.Classes[i].Effect == decide.Keyed && d.Classes[i].Window <= 0 {
-			f.Fail(key+"."+at.window, "a keyed class needs a window above 0")
+		if i < len(settings.Classes) && settings.Classes[i].Effect == decide.Keyed && settings.Classes[i].Window <= 0 {
+			file.Fail(key+"."+keys.window, "a keyed class needs a window above 0")
 		}
 	}
 }
--- a/internal/program/config_json.go
+++ b/internal/program/config_json.go
@@ -16,9 +16,9 @@
 	"burlpass/wire"
 )
 
-// parse reads the platform's JSON. The error holds every fault.
-func (c *Config) parse(text []byte) (own, error) {
-	var file struct {
+// parseJSON reads the platform's JSON. The error holds every fault.
+func (c *Config) parseJSON(text []byte) (instanceSettings, error) {
+	var document struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
 		Seed      string          `json:"seed"`
@@ -28,26 +28,26 @@
 		Known     json.RawMessage `json:"known"`
 		Settings  json.RawMessage `json:"settings"`
 	}
-	f := config.DecodeJSON(cmp.Or(c.Path, "configuration"), text, &file)
-	if err := f.Err(); err != nil {
-		return own{}, err
+	faults := config.DecodeJSON(cmp.Or(c.Path, "configuration"), text, &document)
+	if err := faults.Err(); err != nil {
+		return instanceSettings{}, err
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		f.Fail("seed", "%q: a hexadecimal number of 64 bits is expected", file.Seed)
+	if c.Seed, err = strconv.ParseUint(document.Seed, 16, 64); err != nil {
+		faults.Fail("seed", "%q: a hexadecimal number of 64 bits is expected", document.Seed)
 	}
-	c.Limits = file.Limits
-	if c.Known, err = protocol.ParseList(file.Known); err != nil {
-		f.Fail("known", "%v", err)
+	c.Limits = document.Limits
+	if c.Known, err = protocol.ParseList(document.Known); err != nil {
+		faults.Fail("known", "%v", err)
 	}
-	flat, err := flatten(file.Settings)
+	flattened, err := flattenSettings(document.Settings)
 	if err != nil {
-		f.Fail("settings", "%v", err)
-		return own{}, f.Err()
+		faults.Fail("settings", "%v", err)
+		return instanceSettings{}, faults.Err()
 	}
-	settings, faults := wire.CheckSettings(flat)
-	for _, fault := range faults {
-		f.Fail("settings."+bracketed(fault.Key), "%s", fault.Text)
+	settings, settingFaults := wire.CheckSettings(flattened)
+	for _, fault := range settingFaults {
+		faults.Fail("settings."+bracketIndices(fault.Key), "%s", fault.Text)
 	}
 	c.Decide = settings
 	var names struct {
@@ -55,39 +55,39 @@
 		Kinds   []string                `json:"machine_types"`
 		Classes []struct{ Name string } `json:"classes"`
 	}
-	if err := json.Unmarshal(file.Settings, &names); err != nil {
-		f.Fail("settings", "%v", err)
+	if err := json.Unmarshal(document.Settings, &names); err != nil {
+		faults.Fail("settings", "%v", err)
 	}
 	c.Names = routing.Names{Zones: names.Zones, Kinds: names.Kinds}
-	for _, k := range names.Classes {
-		c.Names.Classes = append(c.Names.Classes, k.Name)
+	for _, class := range names.Classes {
+		c.Names.Classes = append(c.Names.Classes, class.Name)
 	}
-	c.check(f, places{zone: "settings.zone", class: "settings.classes", connect: "settings.ceilings.connect_timeout_us", attempts: "settings.ceilings.max_attempts",
-		multiple: "settings.safety.fall_multiple", start: "settings.safety.start_capacity", window: "dedup_window_us",
+	c.check(faults, settingKeys{zone: "settings.zone", classes: "settings.classes", connectTimeout: "settings.ceilings.connect_timeout_us", maxAttempts: "settings.ceilings.max_attempts",
+		fallMultiple: "settings.safety.fall_multiple", startCapacity: "settings.safety.start_capacity", window: "dedup_window_us",
 		memory: "limits.memory_mb"})
-	return own{file.Name, file.Listen, file.Discovery, file.Operator}, f.Err()
+	return instanceSettings{document.Name, document.Listen, document.Discovery, document.Operator}, faults.Err()
 }
 
-// bracketed writes classes.0.name as classes[0].name.
-func bracketed(key string) string { return item.ReplaceAllString(key, "[$1]") }
+// bracketIndices writes classes.0.name as classes[0].name.
+func bracketIndices(key string) string { return indexSegment.ReplaceAllString(key, "[$1]") }
 
-var item = regexp.MustCompile(`\.(\d+)`)
+var indexSegment = regexp.MustCompile(`\.(\d+)`)
 
-// flatten writes nested JSON as the path=value lines that the module's settings parser reads.
-func flatten(text []byte) ([]byte, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	var v map[string]any
-	if err := d.Decode(&v); err != nil {
+// flattenSettings writes nested JSON as the path=value lines that the module's settings parser reads.
+func flattenSettings(text []byte) ([]byte, error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	var object map[string]any
+	if err := decoder.Decode(&object); err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
-	flattenObject(&out, "", v)
+	flattenObject(&out, "", object)
 	return out.Bytes(), nil
 }
 
-func flattenObject(out io.Writer, prefix string, v map[string]any) {
-	for key, value := range v {
+func flattenObject(out io.Writer, prefix string, object map[string]any) {
+	for key, value := range object {
 		path := prefix + key
 		switch value := value.(type) {
 		case map[string]any:
@@ -95,31 +95,31 @@
 		case []any:
 			flattenList(out, path, value)
 		default:
-			fmt.Fprintf(out, "%s=%s\n", path, plain(value))
+			fmt.Fprintf(out, "%s=%s\n", path, formatValue(value))
 		}
 	}
 }
 
 // flattenList writes a list of plain values as one line, a list of objects as its length and its items.
 func flattenList(out io.Writer, path string, list []any) {
-	words, objects := []string{}, 0
+	values, objectCount := []string{}, 0
 	for i, item := range list {
 		if object, ok := item.(map[string]any); ok {
-			objects++
+			objectCount++
 			flattenObject(out, fmt.Sprintf("%s.%d.", path, i), object)
 		} else {
-			words = append(words, plain(item))
+			values = append(values, formatValue(item))
 		}
 	}
-	if objects > 0 {
-		fmt.Fprintf(out, "%s.count=%d\n", path, objects)
+	if objectCount > 0 {
+		fmt.Fprintf(out, "%s.count=%d\n", path, objectCount)
 	} else {
-		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(words, ","))
+		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(values, ","))
 	}
 }
 
-// plain writes one value; what would end it or its line is replaced.
-func plain(v any) string {
+// formatValue writes one value; what would end it or its line is replaced.
+func formatValue(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/internal/program/config_test.go
+++ b/internal/program/config_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-const file = `{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-	"known":{"generation":1,"reset":true,"instances":[]},"settings":` + settings + `}`
+const jsonConfig = `{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+	"known":{"generation":1,"reset":true,"instances":[]},"settings":` + jsonSettings + `}`
 
 // A sidecar that cannot start says in one line what is at fault.
 func TestLoadNamesTheFault(t *testing.T) {
@@ -36,7 +36,7 @@
 		"setting of a kind":  {from: `"drain_grace_us":750000`, to: `"drain_grace_us":"soon"`, want: "safety.drain_grace_us"},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
-		text := strings.Replace(file, test.from, test.to, 1)
+		text := strings.Replace(jsonConfig, test.from, test.to, 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 
 // The module's settings are the nested JSON's, name for name.
 func TestFlatten(t *testing.T) {
-	got, err := flatten([]byte(`{"a":{"b":{"c":5000000}},"l":["x y","z,"],"o":[{"n":1.50},{"n":true}],"e":[]}`))
+	got, err := flattenSettings([]byte(`{"a":{"b":{"c":5000000}},"l":["x y","z,"],"o":[{"n":1.50},{"n":true}],"e":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,14 +72,14 @@
 }
 
 // Every fault is told with its place, in both forms.
-func TestCheckTellsAll(t *testing.T) {
+func TestCheckReportsAllFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		text string
 		want []string
 	}{
 		"a.json": {"{\n \"seed\": \"xyz\",\n \"limits\": {\"cores\": 0, \"memory_mb\": 9, \"sockets\": 9},\n" +
 			" \"known\": {\"generation\": 1, \"reset\": true, \"instances\": []},\n \"settings\": " +
-			strings.NewReplacer(`"fall_multiple":2.5`, `"fall_multiple":0.5`, `"aim_us":600000`, `"aim_us":"soon"`, `"zone":0`, `"zone":7`).Replace(settings) + "}",
+			strings.NewReplacer(`"fall_multiple":2.5`, `"fall_multiple":0.5`, `"aim_us":600000`, `"aim_us":"soon"`, `"zone":0`, `"zone":7`).Replace(jsonSettings) + "}",
 			[]string{"2:2: seed", "3:13: limits.cores", "settings.zone: 7", "settings.safety.fall_multiple: 0.5", "settings.classes[0].aim_us: \"soon\""}},
 		"b.json": {"{\n \"seed\": 5}", []string{"2:10: seed"}},
 		"c.json": {"{\n \"seed\" 5}", []string{"2:9"}},
@@ -109,7 +109,7 @@
 }
 
 // The example files say the same in both forms, and both are whole.
-func TestExamples(t *testing.T) {
+func TestExampleConfigsAgree(t *testing.T) {
 	var forms [2]*Config
 	for i, path := range []string{"../../docs/config.example.json", "../../docs/config.example.toml"} {
 		c, err := LoadFile(path)
@@ -126,10 +126,10 @@
 }
 
 func FuzzConfig(f *testing.F) {
-	f.Add([]byte(file))
+	f.Add([]byte(jsonConfig))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var c Config
-		if _, err := c.parse(text); err == nil && (c.Known == nil || len(c.Names.Classes) != len(c.Decide.Classes)) {
+		if _, err := c.parseJSON(text); err == nil && (c.Known == nil || len(c.Names.Classes) != len(c.Decide.Classes)) {
 			t.Errorf("taken: %s", text)
 		}
 	})
--- a/internal/program/config_toml.go
+++ b/internal/program/config_toml.go
@@ -31,7 +31,7 @@
 
 	Limits      fileLimits      `toml:"limits" doc:"what the sidecar may use"`
 	Connections fileConnections `toml:"connections" doc:"connections to workers"`
-	Delegations fileDelegations `toml:"delegations" doc:"what may be done for a call"`
+	Attempts    fileAttempts    `toml:"delegations" doc:"what may be done for a call"`
 	Rules       fileRules       `toml:"rules" doc:"figures of the rules"`
 	Reports     fileReports     `toml:"load_reports" doc:"load reports of the workers"`
 	Prices      filePrices      `toml:"prices" doc:"what is weighed against an answer's worth, as points of service"`
@@ -47,13 +47,13 @@
 }
 
 type fileConnections struct {
-	Connect time.Duration `toml:"connect_timeout" default:"250ms" range:"1ms..1m" doc:"a connection that is not there by then is given up"`
-	Idle    time.Duration `toml:"idle_close" default:"5s" range:"100ms..1h" doc:"workers close connections idle for this long"`
-	Streams int           `toml:"streams" default:"1" range:"1..1" doc:"calls at a time on a connection; HTTP/1.1 carries one"`
+	ConnectTimeout time.Duration `toml:"connect_timeout" default:"250ms" range:"1ms..1m" doc:"a connection that is not there by then is given up"`
+	Idle           time.Duration `toml:"idle_close" default:"5s" range:"100ms..1h" doc:"workers close connections idle for this long"`
+	Streams        int           `toml:"streams" default:"1" range:"1..1" doc:"calls at a time on a connection; HTTP/1.1 carries one"`
 }
 
-type fileDelegations struct {
-	Most       int           `toml:"max_attempts" default:"3" range:"1..100" doc:"delegations of one call"`
+type fileAttempts struct {
+	Max        int           `toml:"max_attempts" default:"3" range:"1..100" doc:"delegations of one call"`
 	Cancel     bool          `toml:"cancel" default:"true" doc:"a delegation may be given up before its time"`
 	Copies     bool          `toml:"second_copies" default:"false" doc:"another delegation of a call may be out beside one that is late; the first whole answer counts"`
 	Probe      bool          `toml:"probe" default:"true" doc:"workers may be probed"`
@@ -62,13 +62,13 @@
 }
 
 type fileRules struct {
-	AnswerSlack  time.Duration `toml:"answer_slack" default:"20ms" range:"0s..10s" doc:"after a client's deadline, an answer still counts"`
-	AskWithin    time.Duration `toml:"ask_within" default:"10s" range:"1s..1h" doc:"the registry must be asked at least this often"`
-	DrainGrace   time.Duration `toml:"drain_grace" default:"750ms" range:"0s..1m" doc:"within which sends to a draining worker stop"`
-	FallMultiple float64       `toml:"fall_multiple" default:"2.5" range:"1.." doc:"a cold worker falls when sent more than this times its capacity"`
-	FallTime     time.Duration `toml:"fall_time" default:"1s" range:"1ms..1h" doc:"for this long"`
-	Start        float64       `toml:"start_capacity" default:"0.14" range:"0.001..1" doc:"share of its capacity that a worker starts with at least"`
-	Warm         time.Duration `toml:"warm_after" default:"24s" range:"0s..1h" doc:"a worker is warm after this long at the latest"`
+	AnswerSlack   time.Duration `toml:"answer_slack" default:"20ms" range:"0s..10s" doc:"after a client's deadline, an answer still counts"`
+	AskWithin     time.Duration `toml:"ask_within" default:"10s" range:"1s..1h" doc:"the registry must be asked at least this often"`
+	DrainGrace    time.Duration `toml:"drain_grace" default:"750ms" range:"0s..1m" doc:"within which sends to a draining worker stop"`
+	FallMultiple  float64       `toml:"fall_multiple" default:"2.5" range:"1.." doc:"a cold worker falls when sent more than this times its capacity"`
+	FallTime      time.Duration `toml:"fall_time" default:"1s" range:"1ms..1h" doc:"for this long"`
+	StartCapacity float64       `toml:"start_capacity" default:"0.14" range:"0.001..1" doc:"share of its capacity that a worker starts with at least"`
+	Warm          time.Duration `toml:"warm_after" default:"24s" range:"0s..1h" doc:"a worker is warm after this long at the latest"`
 }
 
 type fileReports struct {
@@ -109,82 +109,82 @@
 func Keys() []config.Key { return config.Keys(tomlFile{}) }
 
 // parseTOML reads the form of new installations. The error holds every fault.
-func (c *Config) parseTOML(text []byte) (own, error) {
-	var x tomlFile
-	f := config.Decode(cmp.Or(c.Path, "configuration"), text, &x)
-	if f.Failed("") {
-		return own{}, f.Err()
+func (c *Config) parseTOML(text []byte) (instanceSettings, error) {
+	var file tomlFile
+	faults := config.Decode(cmp.Or(c.Path, "configuration"), text, &file)
+	if faults.Failed("") {
+		return instanceSettings{}, faults.Err()
 	}
 	c.Seed = rand.Uint64()
-	if x.Seed != "" {
+	if file.Seed != "" {
 		var err error
-		if c.Seed, err = strconv.ParseUint(x.Seed, 16, 64); err != nil {
-			f.Fail("seed", "%q: a hexadecimal number of 64 bits is expected", x.Seed)
+		if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+			faults.Fail("seed", "%q: a hexadecimal number of 64 bits is expected", file.Seed)
 		}
 	}
-	c.Limits = Limits{x.Limits.Cores, int(x.Limits.Memory >> 20), x.Limits.Sockets}
-	c.Names = routing.Names{Zones: x.Zones, Kinds: x.Kinds}
-	zone := slices.Index(x.Zones, x.Zone)
-	if zone < 0 && x.Zone != "" {
-		f.Fail("zone", "%q is none of zones", x.Zone)
+	c.Limits = Limits{file.Limits.Cores, int(file.Limits.Memory >> 20), file.Limits.Sockets}
+	c.Names = routing.Names{Zones: file.Zones, Kinds: file.Kinds}
+	zone := slices.Index(file.Zones, file.Zone)
+	if zone < 0 && file.Zone != "" {
+		faults.Fail("zone", "%q is none of zones", file.Zone)
 	}
-	for _, a := range [][2]string{{"listen", x.Listen}, {"registry", x.Registry}, {"operator", x.Operator}} {
-		if a[0] == "operator" && a[1] == "" {
+	for _, address := range [][2]string{{"listen", file.Listen}, {"registry", file.Registry}, {"operator", file.Operator}} {
+		if address[0] == "operator" && address[1] == "" {
 			continue
 		}
-		if err := checkAddress(a[1]); err != nil {
-			f.Fail(a[0], "%v", err)
+		if err := checkAddress(address[1]); err != nil {
+			faults.Fail(address[0], "%v", err)
 		}
 	}
-	if x.Ordinal >= x.Sidecars && x.Ordinal > 0 {
-		f.Fail("ordinal", "%d: less than the number of sidecars is expected", x.Ordinal)
+	if file.Ordinal >= file.Sidecars && file.Ordinal > 0 {
+		faults.Fail("ordinal", "%d: less than the number of sidecars is expected", file.Ordinal)
 	}
 	c.Decide = decide.Config{
-		Zone: max(zone, 0), Ordinal: x.Ordinal, Balancers: x.Sidecars, OverShareWorth: 1, Subscribe: x.Lists != "pushed",
-		Weights: decide.Weights(max(0, slices.Index([]string{"none", "nominal", "rough", "live"}, x.Weights))),
-		Reports: decide.Reports(max(0, slices.Index([]string{"none", "answers", "probes"}, x.Reports.Via))), Columns: x.Reports.Columns,
-		Safety: decide.Safety{AnswerSlack: x.Rules.AnswerSlack, AskWithin: x.Rules.AskWithin, DrainGrace: x.Rules.DrainGrace,
-			FallMultiple: x.Rules.FallMultiple, TipAfter: x.Rules.FallTime, StartShare: x.Rules.Start, WarmAfter: x.Rules.Warm},
-		Limits: decide.Limits{Cancel: x.Delegations.Cancel, Probe: x.Delegations.Probe, RetryAfter: x.Delegations.RetryAfter, SecondCopies: x.Delegations.Copies,
-			MaxAttempts: x.Delegations.Most, MaxRetryAfter: x.Delegations.MaxRetry},
-		Prices: decide.Prices{CrossZone: x.Prices.Cross, Waste: x.Prices.Waste, Probe: x.Prices.Probe, LateFail: x.Prices.LateFail,
-			Handshake: x.Prices.Handshake, Connection: x.Prices.Connection},
-		IdleClose: x.Connections.Idle, ConnectTime: x.Connections.Connect, ConnStreams: x.Connections.Streams,
+		Zone: max(zone, 0), Ordinal: file.Ordinal, Balancers: file.Sidecars, OverShareWorth: 1, Subscribe: file.Lists != "pushed",
+		Weights: decide.Weights(max(0, slices.Index([]string{"none", "nominal", "rough", "live"}, file.Weights))),
+		Reports: decide.Reports(max(0, slices.Index([]string{"none", "answers", "probes"}, file.Reports.Via))), Columns: file.Reports.Columns,
+		Safety: decide.Safety{AnswerSlack: file.Rules.AnswerSlack, AskWithin: file.Rules.AskWithin, DrainGrace: file.Rules.DrainGrace,
+			FallMultiple: file.Rules.FallMultiple, TipAfter: file.Rules.FallTime, StartShare: file.Rules.StartCapacity, WarmAfter: file.Rules.Warm},
+		Limits: decide.Limits{Cancel: file.Attempts.Cancel, Probe: file.Attempts.Probe, RetryAfter: file.Attempts.RetryAfter, SecondCopies: file.Attempts.Copies,
+			MaxAttempts: file.Attempts.Max, MaxRetryAfter: file.Attempts.MaxRetry},
+		Prices: decide.Prices{CrossZone: file.Prices.Cross, Waste: file.Prices.Waste, Probe: file.Prices.Probe, LateFail: file.Prices.LateFail,
+			Handshake: file.Prices.Handshake, Connection: file.Prices.Connection},
+		IdleClose: file.Connections.Idle, ConnectTime: file.Connections.ConnectTimeout, ConnStreams: file.Connections.Streams,
 	}
-	for i, k := range x.Classes {
-		c.Names.Classes = append(c.Names.Classes, k.Name)
-		c.Decide.Classes = append(c.Decide.Classes, decide.Class{Aim: k.Aim, Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth,
-			Effect: decide.Effect(max(0, slices.Index([]string{"safe", "keyed", "unsafe"}, k.Effect))),
-			Group:  decide.Group(max(0, slices.Index([]string{"all", "zone", "cell"}, k.Group))), Window: k.Window})
-		if k.Aim > k.Deadline {
-			f.Fail(fmt.Sprintf("class[%d].aim", i), "%v is later than the deadline %v", k.Aim, k.Deadline)
+	for i, class := range file.Classes {
+		c.Names.Classes = append(c.Names.Classes, class.Name)
+		c.Decide.Classes = append(c.Decide.Classes, decide.Class{Aim: class.Aim, Deadline: class.Deadline, Worth: class.Worth, LateWorth: class.LateWorth,
+			Effect: decide.Effect(max(0, slices.Index([]string{"safe", "keyed", "unsafe"}, class.Effect))),
+			Group:  decide.Group(max(0, slices.Index([]string{"all", "zone", "cell"}, class.Group))), Window: class.Window})
+		if class.Aim > class.Deadline {
+			faults.Fail(fmt.Sprintf("class[%d].aim", i), "%v is later than the deadline %v", class.Aim, class.Deadline)
 		}
 	}
 	c.Known = &protocol.List{Reset: true}
-	for i, w := range x.Workers {
-		at := fmt.Sprintf("worker[%d]", i)
-		if err := checkAddress(w.Address); err != nil && w.Address != "" {
-			f.Fail(at+".address", "%v", err)
+	for i, worker := range file.Workers {
+		key := fmt.Sprintf("worker[%d]", i)
+		if err := checkAddress(worker.Address); err != nil && worker.Address != "" {
+			faults.Fail(key+".address", "%v", err)
 		}
-		if !slices.Contains(x.Zones, w.Zone) && w.Zone != "" {
-			f.Fail(at+".zone", "%q is none of zones", w.Zone)
+		if !slices.Contains(file.Zones, worker.Zone) && worker.Zone != "" {
+			faults.Fail(key+".zone", "%q is none of zones", worker.Zone)
 		}
-		if !slices.Contains(x.Kinds, w.Kind) {
-			f.Fail(at+".kind", "%q is none of machine_kinds", w.Kind)
+		if !slices.Contains(file.Kinds, worker.Kind) {
+			faults.Fail(key+".kind", "%q is none of machine_kinds", worker.Kind)
 		}
-		if slices.ContainsFunc(x.Workers[:i], func(o fileWorker) bool { return o.ID == w.ID }) {
-			f.Fail(at+".id", "%q stands twice", w.ID)
+		if slices.ContainsFunc(file.Workers[:i], func(other fileWorker) bool { return other.ID == worker.ID }) {
+			faults.Fail(key+".id", "%q stands twice", worker.ID)
 		}
-		c.Known.Instances = append(c.Known.Instances, protocol.Instance{ID: w.ID, Addr: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: w.Cell,
-			Lifecycle: protocol.Up, Weight: w.Weight})
+		c.Known.Instances = append(c.Known.Instances, protocol.Instance{ID: worker.ID, Addr: worker.Address, Zone: worker.Zone, Kind: worker.Kind, Cell: worker.Cell,
+			Lifecycle: protocol.Up, Weight: worker.Weight})
 	}
-	if c.Cluster = x.Cluster; c.Cluster != nil {
-		c.Cluster.check(f, []bound{{"listen", cmp.Or(c.Listen, x.Listen)}, {"operator", cmp.Or(c.Operator, x.Operator)},
-			{"registry", cmp.Or(c.Registry, x.Registry)}}, !c.again)
+	if c.Cluster = file.Cluster; c.Cluster != nil {
+		c.Cluster.check(faults, []configuredAddress{{"listen", cmp.Or(c.Listen, file.Listen)}, {"operator", cmp.Or(c.Operator, file.Operator)},
+			{"registry", cmp.Or(c.Registry, file.Registry)}}, !c.isReload)
 	}
-	if f.Err() == nil { // else the values may be missing, and each fault is told already
-		c.check(f, places{zone: "zone", class: "class", connect: "connections.connect_timeout", attempts: "delegations.max_attempts", multiple: "rules.fall_multiple",
-			start: "rules.start_capacity", window: "window", memory: "limits.memory"})
+	if faults.Err() == nil { // else the values may be missing, and each fault is told already
+		c.check(faults, settingKeys{zone: "zone", classes: "class", connectTimeout: "connections.connect_timeout", maxAttempts: "delegations.max_attempts", fallMultiple: "rules.fall_multiple",
+			startCapacity: "rules.start_capacity", window: "window", memory: "limits.memory"})
 	}
-	return own{x.Name, x.Listen, x.Registry, x.Operator}, f.Err()
+	return instanceSettings{file.Name, file.Listen, file.Registry, file.Operator}, faults.Err()
 }
--- a/internal/program/ending_test.go
+++ b/internal/program/connection_close_test.go
@@ -9,9 +9,9 @@
 
 // What a client sends beyond what is read of it must not turn the end of its connection into a reset, which can take the
 // answer with it: it gets the answer, then an end.
-func TestEndsInOrder(t *testing.T) {
+func TestCloseDoesNotReset(t *testing.T) {
 	unread := strings.Repeat("x", 40_000) // more than the buffer of a connection
-	for name, text := range map[string]struct{ send, answer string }{
+	for name, exchange := range map[string]struct{ send, answer string }{
 		"last request":  {"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n" + unread, "HTTP/1.1 200"},
 		"HTTP/1.0":      {"GET /_health HTTP/1.0\r\n\r\n" + unread, "HTTP/1.1 200"},
 		"rejected":      {"GET /availability/x HTTP/1.1\r\nno colon\r\n\r\n" + unread, "HTTP/1.1 400"},
@@ -19,18 +19,18 @@
 		"head too long": {unread, "HTTP/1.1 431"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := open(t, nil)
-			o.run()
-			client, err := net.Dial("tcp", o.Addr().String())
+			sidecar := newTestSidecar(t, nil)
+			sidecar.startCalls()
+			client, err := net.Dial("tcp", sidecar.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer client.Close()
-			if _, err := io.WriteString(client, text.send); err != nil {
+			if _, err := io.WriteString(client, exchange.send); err != nil {
 				t.Fatal(err)
 			}
 			got, err := io.ReadAll(client)
-			if err != nil || !strings.HasPrefix(string(got), text.answer) {
+			if err != nil || !strings.HasPrefix(string(got), exchange.answer) {
 				t.Errorf("got %.60q and %v", got, err)
 			}
 		})
@@ -38,8 +38,8 @@
 }
 
 // What comes after the end has been sent is not served: the next that arrives is another client's.
-func TestNothingAfterTheEnd(t *testing.T) {
-	play(t, scenario{known: "0=up", script: `
+func TestNoCallAfterClose(t *testing.T) {
+	playScenario(t, scenario{known: "0=up", script: `
 		a send "GET /availability/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 3000m\r\nConnection: close\r\n\r\n"
 		w1 expect GET /availability/x id=t1
 		w1 send 200 ok
--- a/internal/program/cost_test.go
+++ b/internal/program/cpu_cost_test.go
@@ -19,17 +19,17 @@
 		crowded     bool
 	}{{"carried", "availability", false}, {"answered", "none", false}, {"crowded", "availability", true}} {
 		b.Run(test.name, func(b *testing.B) {
-			silent, err := net.Listen("tcp", "127.0.0.1:0") // a worker that takes calls and answers none
+			silentListener, err := net.Listen("tcp", "127.0.0.1:0") // a worker that takes calls and answers none
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer silent.Close()
-			worker := silent.Addr().String()
+			defer silentListener.Close()
+			worker := silentListener.Addr().String()
 			if !test.crowded {
-				worker = answering(b)
+				worker = delayedWorker(b)
 			}
-			c, addr := start(b, worker, 64)
-			d := &demand{addr: addr, class: test.class}
+			c, addr := startSidecar(b, worker, 64)
+			load := &loadGenerator{addr: addr, class: test.class}
 			if test.crowded {
 				for i := range 20 { // as many as 64 descriptors allow
 					conn, err := net.Dial("tcp", addr)
@@ -40,15 +40,15 @@
 					fmt.Fprintf(conn, "GET /availability/x HTTP/1.1\r\nX-Trace-Id: h%d\r\nX-Expires-In: 60000m\r\n\r\n", i)
 				}
 			}
-			d.client() // connections to the worker are there then
-			refused := d.refused.Load()
-			before, n := used(b, c.Process.Pid), 0
+			load.runClient() // connections to the worker are there then
+			refused := load.refused.Load()
+			before, n := processCPUTime(b, c.Process.Pid), 0
 			for b.Loop() {
-				d.client()
-				n += each
+				load.runClient()
+				n += callsPerClient
 			}
-			b.ReportMetric(float64((used(b, c.Process.Pid)-before).Microseconds())/float64(n), "cpu-us/call")
-			if got := d.refused.Load() - refused; test.name != "carried" && got != int64(n) {
+			b.ReportMetric(float64((processCPUTime(b, c.Process.Pid)-before).Microseconds())/float64(n), "cpu-us/call")
+			if got := load.refused.Load() - refused; test.name != "carried" && got != int64(n) {
 				b.Errorf("%d of %d refused", got, n)
 			}
 		})
@@ -56,7 +56,7 @@
 }
 
 // used is the processor time that a process has taken, in steps of 10 ms.
-func used(b *testing.B, pid int) time.Duration {
+func processCPUTime(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/program/deployment_test.go
+++ b/internal/program/deployment_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // What another deployment's settings ask for: lists that an agent pushes, and second copies.
-func TestDeployments(t *testing.T) {
+func TestDeploymentSettings(t *testing.T) {
 	const second = `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1 at=1
@@ -11,7 +11,7 @@
 			a expect 200 ok`
 	for name, s := range map[string]scenario{
 		// The sidecar keeps the watch by itself, from the whole list on; what is told is heeded at once.
-		"pushed": {set: pushed, script: `
+		"pushed": {settings: pushedLists, script: `
 			registry expect GET /catalog/members
 			registry send 1 reset 0=up 1=up
 			registry expect GET /catalog/members?since=1&timeout_ms=250
@@ -20,14 +20,14 @@
 			log expect generation=2` + second},
 		// An agent that says nothing is asked again beside the call that waits, and that is logged; its first word
 		// counts, to whichever call it comes.
-		"pushed, silent for long": {set: pushed, known: "0=up", script: `
+		"pushed, silent for long": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry expect GET /catalog/members
 			log expect event=registry_failed
 			registry serves 7 reset 1=up
 			log expect generation=7` + second},
 		// One that breaks off at each call, then answers garbage: the old list stays in force, and it is asked on.
-		"pushed, resets and garbage": {set: pushed, known: "0=up", script: `
+		"pushed, resets and garbage": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry close
 			registry expect GET /catalog/members
@@ -46,7 +46,7 @@
 			w2 send 200 ok
 			a expect 200 ok`},
 		// One that counts anew after it was away: its whole list is the one in force, however low its generation.
-		"pushed, counts anew": {set: pushed, known: "0=up", script: `
+		"pushed, counts anew": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 9 reset 0=up
 			registry expect GET /catalog/members?since=9&timeout_ms=250
@@ -58,7 +58,7 @@
 			w2 send 200 ok
 			b expect 200 ok`},
 		// The same without a break: changes that count from below are no changes to the list at hand.
-		"pushed, counts anew without a word": {set: pushed, known: "0=up", script: `
+		"pushed, counts anew without a word": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 9 reset 0=up
 			registry expect GET /catalog/members?since=9&timeout_ms=250
@@ -69,14 +69,14 @@
 			log expect generation=3` + second},
 		// A list that shrinks to nothing is believed: nobody is left to send to, and it is refused at the end of what
 		// could still be earned.
-		"pushed, nobody left": {set: pushed, script: `
+		"pushed, nobody left": {settings: pushedLists, script: `
 			registry expect GET /catalog/members
 			registry send 3 reset
 			registry expect GET /catalog/members?since=3&timeout_ms=250
 			a send POST /booking/x id=t1 expires=100m body=b
 			a expect 503 after=1.5`},
 		// A reload moves to the agent that the file names now, and follows that one from then on.
-		"pushed, reload": {set: pushed, known: "0=up", script: `
+		"pushed, reload": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 8 reset 0=up
 			registry expect GET /catalog/members?since=8&timeout_ms=250
@@ -87,7 +87,7 @@
 			log expect generation=0` + second},
 		// A reload whose file says that lists are asked for now, where they were pushed: that takes a restart, and says
 		// so; the registry moves, and is followed as before.
-		"pushed, reload to asked": {set: pushed, known: "0=up", script: `
+		"pushed, reload to asked": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 8 reset 0=up
 			registry expect GET /catalog/members?since=8&timeout_ms=250
@@ -97,7 +97,7 @@
 			log expect needs_restart=settings
 			log expect generation=1` + second},
 		// Workers that report nothing, of which one sends a report all the same: calls pass, and nothing is made of it.
-		"no reports": {set: `"columns":["util","eps","queue"],"via":"pull"=>"columns":[],"via":"silent"`, known: "0=up", script: `
+		"no reports": {settings: `"columns":["util","eps","queue"],"via":"pull"=>"columns":[],"via":"silent"`, known: "0=up", script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 send "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT util=0.9\r\nContent-Length: 2\r\n\r\nok"
@@ -107,11 +107,11 @@
 			w1 send 200 ok
 			a expect 200 ok`},
 		// A second copy goes out beside the first; the first whole answer is the call's, the other is called off.
-		"second copy answers": {set: copies, known: "0=up", script: copied + `
+		"second copy answers": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w3 send 200 two
 			a expect 200 two
 			w2 wait`},
-		"first copy answers": {set: copies, known: "0=up", script: copied + `
+		"first copy answers": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w2 send 200 one
 			a expect 200 one
 			w3 wait
@@ -120,7 +120,7 @@
 			w4 send 200 next
 			a expect 200 next`},
 		// Both at once: one answer, and the next call's own after it.
-		"both copies answer": {set: copies, known: "0=up", script: copied + `
+		"both copies answer": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w2 send 200 same
 			w3 send 200 same
 			a expect 200 same
@@ -129,19 +129,19 @@
 			w4 send 200 next
 			a expect 200 next`},
 		// A copy that fails decides nothing while another is out.
-		"first copy fails": {set: copies, known: "0=up", script: copied + `
+		"first copy fails": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w2 send 500 no
 			w3 send 200 two
 			a expect 200 two`},
-		"first copy's worker dies": {set: copies, known: "0=up", script: copied + `
+		"first copy's worker dies": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w2 close
 			w3 send 200 two
 			a expect 200 two`},
-		"client leaves two copies": {set: copies, known: "0=up", script: copied + `
+		"client leaves two copies": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			a close
 			w2 wait
 			w3 wait`},
-		"planned stop with two copies": {set: copies, known: "0=up", script: copied + `
+		"planned stop with two copies": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			sidecar send TERM
 			log expect event=drain
 			w1 send 200 ok
@@ -149,16 +149,16 @@
 			a expect 200 close two
 			sidecar wait exit`},
 		// The list takes the copy's worker away: the copy that is out ends by itself, and its answer counts.
-		"second copy's worker is drained": {set: copies, known: "0=up", script: copied + `
-			registry expect GET /catalog/members?since=2&timeout_ms=DRAWN
+		"second copy's worker is drained": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
+			registry expect GET /catalog/members?since=2&timeout_ms=RANDOM
 			registry send 3 1=draining
 			log expect generation=3
 			w3 send 200 two
 			a expect 200 two
 			w2 wait`},
 		// A booking is never copied, whatever speaks against its worker: two attempts have gone out for two calls.
-		"no copy of an unsafe call": {set: copies, known: "0=up", script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+		"no copy of an unsafe call": {settings: allowSecondCopies, known: "0=up", script: `
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			z send POST /booking/z id=t0 expires=6000m body=b
 			w1 expect POST /booking/z id=t0 body=b
 			a send POST /booking/x id=t1 expires=1500m body=b
@@ -168,7 +168,7 @@
 			operator send STATS
 			operator expect {"success":{"availability":0,"booking":0,"paid-extra":0},"busy":{"availability":0,"booking":0,"paid-extra":0},"failure":{"availability":0,"booking":1,"paid-extra":0},"backend_calls":2,"inflight":1,"hosts_listed":2,"hosts_down":0,"list_age_ms":T} | --`},
 		// Where copies are not allowed the first attempt's connection is closed before another goes out.
-		"copies off": {set: `"aim_us":600000=>"aim_us":3000000`, known: "0=up", script: copied + `
+		"copies off": {settings: `"aim_us":600000=>"aim_us":3000000`, known: "0=up", script: secondCopySent + `
 			w2 wait
 			w3 send 200 two
 			a expect 200 two`},
@@ -190,6 +190,6 @@
 			w2 send 200 ok
 			a expect 200 ok`},
 	} {
-		t.Run(name, func(t *testing.T) { t.Parallel(); play(t, s) })
+		t.Run(name, func(t *testing.T) { t.Parallel(); playScenario(t, s) })
 	}
 }
--- a/internal/program/gate_bench_test.go
+++ b/internal/program/gate_bench_test.go
@@ -18,16 +18,16 @@
 )
 
 // manyRules is a record of 10,157 rules in 1,451 namespaces, every setting in each, of 50 teams beside the root's.
-func manyRules(tb testing.TB) *replica.Replica {
-	m := record.New(record.DefaultBounds(), rules.Domains(nil)...)
+func recordWithManyRules(tb testing.TB) *replica.Replica {
+	model := record.New(record.DefaultBounds(), rules.Domains(nil)...)
 	n := 0
 	write := func(by string, changes []record.Change) {
 		for len(changes) > 0 {
-			some := changes[:min(64, len(changes))]
-			changes = changes[len(some):]
+			batch := changes[:min(64, len(changes))]
+			changes = changes[len(batch):]
 			n++
-			w := &record.Write{ID: fmt.Sprint(n), By: by, Base: m.Version(), Changes: some}
-			if r := m.Apply(&record.Entry{Write: w}); r.Outcome != record.Applied {
+			w := &record.Write{ID: fmt.Sprint(n), By: by, Base: model.Version(), Changes: batch}
+			if r := model.Apply(&record.Entry{Write: w}); r.Outcome != record.Applied {
 				tb.Fatal(r)
 			}
 		}
@@ -35,7 +35,7 @@
 	item := func(kind record.Kind, key, now string) record.Change {
 		return record.Change{Kind: kind, Key: key, Value: json.RawMessage(`{"now":` + now + `}`)}
 	}
-	set := func(in string) (out []record.Change) {
+	allSettings := func(in string) (out []record.Change) {
 		for setting, v := range map[rules.Setting]string{rules.Rate: `"value":1000000000,"cut":{"mode":"open"}`, rules.Calls: `"value":1000000,"cut":{"mode":"open"}`,
 			rules.Attempts: `"value":3`, rules.Repeat: `"value":1`, rules.Deadline: `"value":3000`, rules.Worth: `"value":5`, rules.Callers: `"callers":["app","availability"]`} {
 			out = append(out, item(rules.RuleKind, in+"#"+string(setting)+"#r", `{"mode":"default",`+v+`}`))
@@ -43,40 +43,40 @@
 		return out
 	}
 	write("root", []record.Change{item(rules.TeamKind, "root", `{}`), item(rules.NamespaceKind, "*/*/*", `{"owner":"root"}`)})
-	write("root", set("*/*/*"))
+	write("root", allSettings("*/*/*"))
 	var teams []record.Change
 	for i := range 50 {
 		teams = append(teams, item(rules.TeamKind, fmt.Sprint("t", i), `{}`))
 	}
 	write("root", teams)
-	var spaces, ruled []record.Change
+	var namespaces, ruleChanges []record.Change
 	for i := range 50 {
-		spaces = append(spaces, item(rules.NamespaceKind, fmt.Sprintf("i%d/*/*", i), fmt.Sprintf(`{"parent":"*/*/*","owner":"t%d"}`, i)))
+		namespaces = append(namespaces, item(rules.NamespaceKind, fmt.Sprintf("i%d/*/*", i), fmt.Sprintf(`{"parent":"*/*/*","owner":"t%d"}`, i)))
 	}
-	write("root", spaces)
+	write("root", namespaces)
 	for i := range 50 {
-		spaces, ruled = nil, set(fmt.Sprintf("i%d/*/*", i))
+		namespaces, ruleChanges = nil, allSettings(fmt.Sprintf("i%d/*/*", i))
 		for h := range 28 {
 			in := fmt.Sprintf("i%d/h%d/*", i, h)
-			spaces = append(spaces, item(rules.NamespaceKind, in, fmt.Sprintf(`{"parent":"i%d/*/*","owner":"t%d"}`, i, i)))
-			ruled = append(ruled, set(in)...)
+			namespaces = append(namespaces, item(rules.NamespaceKind, in, fmt.Sprintf(`{"parent":"i%d/*/*","owner":"t%d"}`, i, i)))
+			ruleChanges = append(ruleChanges, allSettings(in)...)
 		}
-		write(fmt.Sprint("t", i), spaces)
-		write(fmt.Sprint("t", i), ruled)
+		write(fmt.Sprint("t", i), namespaces)
+		write(fmt.Sprint("t", i), ruleChanges)
 	}
-	return replica.New(m, 0, 0)
+	return replica.New(model, 0, 0)
 }
 
-type follows struct{ r *replica.Replica }
+type replicaMember struct{ r *replica.Replica }
 
-func (f follows) Replica() *replica.Replica { return f.r }
+func (m replicaMember) Replica() *replica.Replica { return m.r }
 
 // BenchmarkGate is BenchmarkCall's call without a gate, and with one of 10,157 rules: its caller is named, it counts against a limit of
 // calls a second and one of calls at once, which have room.
 func BenchmarkGate(b *testing.B) {
-	r := manyRules(b)
+	r := recordWithManyRules(b)
 	gate := func(b *testing.B) *enforcement.Enforcer {
-		g := enforcement.New(enforcement.Config{Member: follows{r}, Limits: limits.New(limits.Config{Name: "b"}), Island: "i7", Hall: "h7", Log: logging.Discard(),
+		g := enforcement.New(enforcement.Config{Member: replicaMember{r}, Limits: limits.New(limits.Config{Name: "b"}), Island: "i7", Hall: "h7", Log: logging.Discard(),
 			Classes: []enforcement.Class{{Name: "availability"}, {Name: "booking"}, {Name: "paid-extra"}}})
 		ctx, cancel := context.WithCancel(context.Background())
 		b.Cleanup(cancel)
@@ -95,11 +95,11 @@
 	})
 	for _, on := range []bool{false, true} {
 		b.Run(map[bool]string{false: "none", true: "rules"}[on], func(b *testing.B) {
-			o := open(b, nil)
+			o := newTestSidecar(b, nil)
 			if on {
 				o.gate, o.origins = gate(b), &protocol.Origins{Caller: "X-Qos"}
 			}
-			call := o.run()
+			call := o.startCalls()
 			b.ReportAllocs()
 			for b.Loop() {
 				call()
--- a/internal/program/gate_test.go
+++ b/internal/program/gate_test.go
@@ -13,16 +13,16 @@
 )
 
 // asked is a gate made of a function.
-type asked func(call *protocol.Call) routing.Terms
+type gateFunc func(call *protocol.Call) routing.Terms
 
-func (a asked) Enter(call *protocol.Call) routing.Terms { return a(call) }
+func (f gateFunc) Enter(call *protocol.Call) routing.Terms { return f(call) }
 
 // What a gate says holds for the call that it was asked about, on its whole way.
 func TestGate(t *testing.T) {
-	says := func(terms routing.Terms) func(*protocol.Call) routing.Terms {
+	withPolicy := func(terms routing.Terms) func(*protocol.Call) routing.Terms {
 		return func(*protocol.Call) routing.Terms { return terms }
 	}
-	refuses := func(a protocol.Answer) func(*protocol.Call) routing.Terms {
+	refuseUnlessApp := func(a protocol.Answer) func(*protocol.Call) routing.Terms {
 		return func(c *protocol.Call) routing.Terms {
 			if c.Origin.Caller == "app" {
 				return routing.Terms{}
@@ -31,39 +31,39 @@
 		}
 	}
 	const sunset = "Sunset: soon\r\n"
-	const long = `POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 90000\r\n\r\n<90000>`
-	last := copied[strings.LastIndex(copied, "w3"):] // where the copy arrives
-	passes := `
+	const longCall = `POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 90000\r\n\r\n<90000>`
+	secondCopyArrival := secondCopySent[strings.LastIndex(secondCopySent, "w3"):] // where the copy arrives
+	appCallSucceeds := `
 			a send GET /availability/x id=t2 expires=2000m caller=app
 			w1 expect GET /availability/x id=t2
 			w1 send 200 ok
 			a expect 200 ok`
 	for name, s := range map[string]scenario{
 		// A refused call reaches nobody: the next call's arrival is the first. It counts as busy.
-		"refused": {gate: refuses(protocol.Answer{Verdict: protocol.Limited, Wait: 200 * time.Millisecond}), script: `
+		"refused": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited, Wait: 200 * time.Millisecond}), script: `
 			a send POST /booking/x id=t1 expires=2000m body=b
-			a expect 429 after=0.2` + passes + `
+			a expect 429 after=0.2` + appCallSucceeds + `
 			operator send STATS
 			operator expect {"success":{"availability":1,"booking":0,"paid-extra":0},"busy":{"availability":0,"booking":1,"paid-extra":0},"failure":{"availability":0,"booking":0,"paid-extra":0},"backend_calls":1,"inflight":0,"hosts_listed":2,"hosts_down":0,"list_age_ms":T} | --`},
-		"refused for long": {gate: refuses(protocol.Answer{Verdict: protocol.Limited, Wait: time.Minute}), script: `
+		"refused for long": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited, Wait: time.Minute}), script: `
 			a send GET /booking/x id=t1 expires=2000m
-			a expect 429 after=1.5` + passes},
-		"no advice": {set: `"retry_after":true=>"retry_after":false`,
-			gate: refuses(protocol.Answer{Verdict: protocol.Limited, Wait: time.Second}), script: `
+			a expect 429 after=1.5` + appCallSucceeds},
+		"no advice": {settings: `"retry_after":true=>"retry_after":false`,
+			gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited, Wait: time.Second}), script: `
 			a send GET /booking/x id=t1 expires=2000m
-			a expect 429` + passes},
-		"ended": {gate: refuses(protocol.Answer{Verdict: protocol.Ended, Header: sunset}), script: `
+			a expect 429` + appCallSucceeds},
+		"ended": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Ended, Header: sunset}), script: `
 			a send GET /booking/x id=t1 expires=2000m
-			a expect 410 sunset=soon` + passes},
-		"shed with a header": {gate: refuses(protocol.Answer{Verdict: protocol.Refused, Wait: time.Second, Header: sunset}), script: `
+			a expect 410 sunset=soon` + appCallSucceeds},
+		"shed with a header": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Refused, Wait: time.Second, Header: sunset}), script: `
 			a send GET /booking/x id=t1 expires=2000m
-			a expect 503 after=1 sunset=soon` + passes},
+			a expect 503 after=1 sunset=soon` + appCallSucceeds},
 		// The rest of a long message that is refused is read and dropped.
-		"a long message refused": {gate: refuses(protocol.Answer{Verdict: protocol.Limited}), script: `
-			a send "` + long + `"
+		"a long message refused": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited}), script: `
+			a send "` + longCall + `"
 			a expect 429 close
 			a wait`},
-		"header lines": {gate: says(routing.Terms{Header: sunset}), script: `
+		"header lines": {gate: withPolicy(routing.Terms{Header: sunset}), script: `
 			a send GET /availability/x id=t1 expires=20000m
 			w1 expect GET /availability/x id=t1
 			w1 send 200 ok
@@ -72,25 +72,25 @@
 			w1 expect POST /booking/x id=t2 body=b
 			w1 close
 			b expect 502 sunset=soon`},
-		"header lines on a long answer": {gate: says(routing.Terms{Header: sunset}), script: `
+		"header lines on a long answer": {gate: withPolicy(routing.Terms{Header: sunset}), script: `
 			a send GET /availability/x id=t1 expires=6000m
 			w1 expect GET /availability/x id=t1
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n<70000>"
 			a expect begins 200
 			a expect 200 sunset=soon <70000>`},
 		// One attempt where the class has three: what broke may have run.
-		"no attempt left": {gate: says(routing.Terms{Attempts: 1}), script: `
+		"no attempt left": {gate: withPolicy(routing.Terms{Attempts: 1}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 close
 			a expect 502`},
 		// What surely never ran is refused, not failed.
-		"no attempt left, never ran": {gate: says(routing.Terms{Attempts: 1}), script: `
+		"no attempt left, never ran": {gate: withPolicy(routing.Terms{Attempts: 1}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 send 503 never-ran
 			a expect 503`},
-		"no attempt left of three": {gate: says(routing.Terms{Attempts: 100}), script: `
+		"no attempt left of three": {gate: withPolicy(routing.Terms{Attempts: 100}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 close
@@ -98,42 +98,42 @@
 			w2 send 200 ok
 			a expect 200 ok`},
 		// A call that may not be sent again goes out again where it never ran, and only there.
-		"once": {gate: says(routing.Terms{Once: true}), script: `
+		"once": {gate: withPolicy(routing.Terms{Once: true}), script: `
 			a send POST /paid-extra/x id=t1 key=k expires=2000m body=b
 			w1 expect POST /paid-extra/x id=t1 key=k body=b
 			w1 send 503 never-ran
 			w2 expect POST /paid-extra/x id=t1 key=k body=b
 			w2 close
-			a expect 502` + passes},
+			a expect 502` + appCallSucceeds},
 		// No copy beside one that may run, nor is that one called off for another.
-		"once where copies are allowed": {known: "0=up", set: copies, gate: says(routing.Terms{Once: true}), script: strings.TrimSpace(strings.TrimSuffix(copied, last)) + `
+		"once where copies are allowed": {known: "0=up", settings: allowSecondCopies, gate: withPolicy(routing.Terms{Once: true}), script: strings.TrimSpace(strings.TrimSuffix(secondCopySent, secondCopyArrival)) + `
 			w2 send 200 ok
 			a expect 200 ok`},
 		// The client would wait for a minute, longer than this test has.
-		"deadline": {gate: says(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
+		"deadline": {gate: withPolicy(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
 			a send POST /booking/x id=t1 expires=60000m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			a expect 504`},
-		"deadline of a long message": {gate: says(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
-			a send "` + long + `"
+		"deadline of a long message": {gate: withPolicy(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
+			a send "` + longCall + `"
 			w1 expect begins POST /booking/x
 			w1 expect POST /booking/x id=t1 body=<90000>
 			a expect 502`}, // as where the client's own time ends while the worker has all of it
-		"longer than the client's": {gate: says(routing.Terms{Deadline: time.Minute}), script: `
+		"longer than the client's": {gate: withPolicy(routing.Terms{Deadline: time.Minute}), script: `
 			a send POST /booking/x id=t1 expires=100m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			a expect 504`},
 	} {
-		t.Run(name, func(t *testing.T) { t.Parallel(); play(t, s) })
+		t.Run(name, func(t *testing.T) { t.Parallel(); playScenario(t, s) })
 	}
 }
 
 // The gate is asked once whatever happens to the call, sees its origin, and is told its end.
-func TestGateIsTold(t *testing.T) {
+func TestGateSeesEveryCall(t *testing.T) {
 	var calls atomic.Int64
 	ends := make(chan routing.End, 10)
 	origins := make(chan protocol.Origin, 10)
-	play(t, scenario{gate: func(c *protocol.Call) routing.Terms {
+	playScenario(t, scenario{gate: func(c *protocol.Call) routing.Terms {
 		origins <- *c.Origin
 		calls.Add(1)
 		return routing.Terms{Ended: func(e routing.End) { ends <- e }}
--- a/internal/program/invariants_test.go
+++ b/internal/program/invariants_test.go
@@ -15,7 +15,7 @@
 )
 
 // A process that is held up for longer than the rules allow for breaks them, and says so.
-func TestInvariantsOfAHeldProcess(t *testing.T) {
+func TestStoppedProcessReportsInvariants(t *testing.T) {
 	t.Parallel()
 	r, w := io.Pipe()
 	t.Cleanup(func() { w.Close() }) // once the process has ended
@@ -25,8 +25,8 @@
 			lines <- s.Text()
 		}
 	}()
-	c, addr := startLogged(t, deafBackend(t), 256, w)
-	for _, sent := range []string{booking()[:80], strings.Replace(booking(), "2500m", "500m", 1)} {
+	c, addr := startSidecarWithLog(t, nonReadingWorker(t), 256, w)
+	for _, sent := range []string{bookingCall()[:80], strings.Replace(bookingCall(), "2500m", "500m", 1)} {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -36,9 +36,9 @@
 			t.Fatal(err)
 		}
 	}
-	untilOpen(t, addr)
+	waitUntilReceived(t, addr)
 	c.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(owedWithin + 200*time.Millisecond) // the fault itself
+	time.Sleep(stalledClientLimit + 200*time.Millisecond) // the fault itself
 	c.Process.Signal(syscall.SIGCONT)
 	for missing := []string{"stopped_client_ended", "answered_in_time"}; len(missing) > 0; { // they come in either order
 		select {
@@ -49,21 +49,21 @@
 			if strings.Contains(line, "rule=answered_in_time") && !strings.Contains(line, "id=stopped-") {
 				t.Errorf("no request's id in %s", line)
 			}
-		case <-time.After(giveUp):
+		case <-time.After(waitLimit):
 			t.Fatalf("no lines of %v", missing)
 		}
 	}
 }
 
 // A request that cannot be ended holds the process up to its bound, and no longer; the log says so.
-func TestInvariantOfTheExit(t *testing.T) {
-	held := make(chan struct{})
-	defer close(held)
+func TestForcedExitReportsInvariant(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
 	gate := func(*protocol.Call) routing.Terms {
-		<-held
+		<-release
 		return routing.Terms{}
 	}
-	play(t, scenario{gate: gate, script: `
+	playScenario(t, scenario{gate: gate, script: `
 		a send GET /availability/x id=t1 expires=2000m
 		sidecar send TERM
 		log expect event=invariant_broken rule=exit_in_time
--- a/internal/program/main_test.go
+++ b/internal/program/main_test.go
@@ -19,12 +19,12 @@
 const childEnv = "BURLPASS_TEST_CHILD"
 
 // failingEnv gives such a sidecar a network a tenth of whose calls of a kind fail; the kind as a number.
-const failingEnv = "BURLPASS_TEST_FAILING"
+const failingSyscallEnv = "BURLPASS_TEST_FAILING"
 
 // Whatever a test has ended leaves no goroutine behind.
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) != "" {
-		if err := child(); err != nil {
+		if err := runChild(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -33,7 +33,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func child() error {
+func runChild() error {
 	c, err := Load(os.Getenv)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	network, err := childNetwork(os.Getenv(failingEnv))
+	network, err := childNetwork(os.Getenv(failingSyscallEnv))
 	if err != nil {
 		return err
 	}
@@ -63,5 +63,5 @@
 		return transport.System{}, nil
 	}
 	kind, err := strconv.ParseUint(failing, 10, 8)
-	return faultnet.Always(faultnet.Kind(kind), failingShare), err
+	return faultnet.Always(faultnet.Kind(kind), syscallFailureRate), err
 }
--- a/internal/program/cluster_without_test.go
+++ b/internal/program/no_cluster_test.go
@@ -9,7 +9,7 @@
 )
 
 // ofCluster tells whether a line of a stack is of what [cluster] starts.
-func ofCluster(line string) bool {
+func isClusterCode(line string) bool {
 	for _, part := range []string{"burlpass/internal/cluster", "burlpass/internal/orders", "burlpass/internal/record", "burlpass/internal/rules",
 		"burlpass/internal/enforcement", "burlpass/internal/limits", "burlpass/internal/lease", "github.com/hashicorp/",
 		"go.etcd.io/bbolt", "github.com/prometheus/"} {
@@ -26,13 +26,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := map[string]bool{}
+	targets := map[string]bool{}
 	for _, fd := range all {
 		if at, err := os.Readlink(fd); err == nil { // not the one that lists them
-			to[at] = true
+			targets[at] = true
 		}
 	}
-	return to
+	return targets
 }
 
 // clusterAllocations counts what has been allocated so far in the cluster's code.
@@ -45,7 +45,7 @@
 	for _, r := range records[:n] {
 		for frames := runtime.CallersFrames(r.Stack()); ; {
 			f, more := frames.Next()
-			if ofCluster(f.Function) {
+			if isClusterCode(f.Function) {
 				objects += r.AllocObjects
 				break
 			}
@@ -59,41 +59,41 @@
 
 // Without [cluster] there is no goroutine, no descriptor and no allocation of it. That the same look finds them with it shows
 // that it would.
-func TestNothingWithoutCluster(t *testing.T) {
+func TestNoClusterResourcesWithoutConfig(t *testing.T) {
 	rate := runtime.MemProfileRate
 	runtime.MemProfileRate = 1
 	defer func() { runtime.MemProfileRate = rate }()
 	for name, c := range map[string]struct {
-		cluster *ClusterConfig
-		of      bool
-	}{"without": {nil, false}, "with": {onlyVoter(t), true}} {
+		cluster     *ClusterConfig
+		wantCluster bool
+	}{"without": {nil, false}, "with": {singleVoterConfig(t), true}} {
 		t.Run(name, func(t *testing.T) {
 			before, allocated := descriptors(t), clusterAllocations()
-			sidecar := open(t, c.cluster)
+			sidecar := newTestSidecar(t, c.cluster)
 			var fresh []string
 			for to := range descriptors(t) {
 				if !before[to] && !strings.Contains(to, "anon_inode") { // the runtime's poller, once a process
 					fresh = append(fresh, to)
 				}
 			}
-			if more := len(fresh) > 2; more != c.of { // the worker's and the clients' addresses
+			if more := len(fresh) > 2; more != c.wantCluster { // the worker's and the clients' addresses
 				t.Errorf("descriptors: %q", fresh)
 			}
-			call := sidecar.run()
+			call := sidecar.startCalls()
 			for range 200 {
 				call()
 			}
 			stacks := make([]byte, 4<<20)
 			found := ""
 			for line := range strings.Lines(string(stacks[:runtime.Stack(stacks, true)])) {
-				if ofCluster(line) {
+				if isClusterCode(line) {
 					found = line
 				}
 			}
-			if (found != "") != c.of {
+			if (found != "") != c.wantCluster {
 				t.Errorf("goroutines: %q", found)
 			}
-			if n := clusterAllocations() - allocated; (n > 0) != c.of {
+			if n := clusterAllocations() - allocated; (n > 0) != c.wantCluster {
 				t.Errorf("%d allocations", n)
 			}
 		})
--- a/internal/program/deaf_test.go
+++ b/internal/program/nonreading_worker_test.go
@@ -12,9 +12,9 @@
 
 // A backend that takes no more of a message than its socket does holds up neither the answer to the client nor the look for
 // the client's leaving: not on a new connection, and not on a kept one.
-func TestBackendTakesNoMore(t *testing.T) {
+func TestWorkerStopsReading(t *testing.T) {
 	t.Parallel()
-	backend := scriptedBackend(t, func(conn net.Conn) { // one answer, then nothing is read any more
+	worker := scriptedWorker(t, func(conn net.Conn) { // one answer, then nothing is read any more
 		conn.(*net.TCPConn).SetReadBuffer(2 << 10)
 		r, err := http.ReadRequest(bufio.NewReaderSize(conn, 1<<10))
 		if err == nil && r.ContentLength < 100 {
@@ -22,25 +22,25 @@
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	_, addr := start(t, backend, 256)
+	_, addr := startSidecar(t, worker, 256)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(giveUp))
+	conn.SetDeadline(time.Now().Add(waitLimit))
 	r := bufio.NewReader(conn)
-	io.WriteString(conn, booking())
-	if err := skipAnswer(r); err != nil {
+	io.WriteString(conn, bookingCall())
+	if err := skipResponse(r); err != nil {
 		t.Fatal(err)
 	}
-	long := strings.Replace(strings.Replace(booking(), "Content-Length: 20", "Content-Length: 65536", 1), "2500m", "500m", 1)
+	long := strings.Replace(strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 65536", 1), "2500m", "500m", 1)
 	long = strings.TrimSuffix(long, "01234567890123456789") + strings.Repeat("x", 65536)
 	if _, err := io.WriteString(conn, long); err != nil {
 		t.Fatal(err)
 	}
 	sent := time.Now()
-	if err := skipAnswer(r); err != nil {
+	if err := skipResponse(r); err != nil {
 		t.Fatal(err)
 	}
 	if took := time.Since(sent); took > 1500*time.Millisecond { // its time is 0.5 s
--- a/internal/program/overload_test.go
+++ b/internal/program/overload_test.go
@@ -22,65 +22,65 @@
 // The load of TestShortOfProcessor: a quarter of a core, in pieces longer than a client's connection is safe from being
 // closed for another, and clients in number three times what the sidecar has connections for.
 const (
-	stopTime = 300 * time.Millisecond
-	runTime  = 100 * time.Millisecond
-	crowd    = 64
-	each     = 25 // calls of each client
+	pauseTime      = 300 * time.Millisecond
+	runTime        = 100 * time.Millisecond
+	loadClients    = 64
+	callsPerClient = 25 // calls of each client
 )
 
 // A sidecar that is out of processor time may refuse, and may be late; it must not end a connection over a call that
 // waits in it unread.
-func TestShortOfProcessor(t *testing.T) {
-	c, addr := start(t, answering(t), 64)
-	stopped, halting := make(chan struct{}), make(chan struct{})
+func TestCPUStarvedSidecar(t *testing.T) {
+	c, addr := startSidecar(t, delayedWorker(t), 64)
+	stop, pauserDone := make(chan struct{}), make(chan struct{})
 	go func() { // the rest of the core
-		defer close(halting)
+		defer close(pauserDone)
 		for {
 			c.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(stopTime)
+			time.Sleep(pauseTime)
 			c.Process.Signal(syscall.SIGCONT)
 			select {
-			case <-stopped:
+			case <-stop:
 				return
 			case <-time.After(runTime):
 			}
 		}
 	}()
 	defer func() {
-		close(stopped)
-		<-halting
+		close(stop)
+		<-pauserDone
 	}()
-	d := &demand{addr: addr}
+	load := &loadGenerator{addr: addr}
 	var all sync.WaitGroup
-	for range crowd {
-		all.Go(d.client)
+	for range loadClients {
+		all.Go(load.runClient)
 	}
 	all.Wait()
-	t.Logf("%d served, %d refused, %d given up, %d sent once more", d.served.Load(), d.refused.Load(), d.late.Load(), d.crossed.Load())
-	if n := d.lost.Load(); n > 0 {
-		t.Errorf("%d calls lost, such as: %v", n, d.how.Load())
+	t.Logf("%d served, %d refused, %d given up, %d sent once more", load.served.Load(), load.refused.Load(), load.timedOut.Load(), load.resent.Load())
+	if n := load.lost.Load(); n > 0 {
+		t.Errorf("%d calls lost, such as: %v", n, load.lastLoss.Load())
 	}
-	if d.served.Load() == 0 {
+	if load.served.Load() == 0 {
 		t.Error("nothing was served")
 	}
 }
 
 // start starts this binary as a sidecar with one backend, or several with commas between them, and so many descriptors,
 // and tells where it listens. Its log is dropped.
-func start(t testing.TB, worker string, sockets int) (c *exec.Cmd, addr string) {
-	return startLogged(t, worker, sockets, io.Discard)
+func startSidecar(t testing.TB, workers string, sockets int) (c *exec.Cmd, addr string) {
+	return startSidecarWithLog(t, workers, sockets, io.Discard)
 }
 
 // startLogged is start with the sidecar's log. The race detector would else hold the exit of its process up by a second.
-func startLogged(t testing.TB, worker string, sockets int, log io.Writer) (c *exec.Cmd, addr string) {
+func startSidecarWithLog(t testing.TB, workers string, sockets int, log io.Writer) (c *exec.Cmd, addr string) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	var instances []string
-	for i, backend := range strings.Split(worker, ",") {
+	for i, worker := range strings.Split(workers, ",") {
 		instances = append(instances, fmt.Sprintf(`{"instanceId":"s%d","hostPort":%q,"zone":"hall-a","machineType":"new",
-			"lifecycle":"up","weight":1,"startedAtMs":0}`, i, backend))
+			"lifecycle":"up","weight":1,"startedAtMs":0}`, i, worker))
 	}
 	text := fmt.Sprintf(`{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
-		"known":{"generation":1,"reset":true,"instances":[%s]},"settings":%s}`, sockets, strings.Join(instances, ","), settings)
+		"known":{"generation":1,"reset":true,"instances":[%s]},"settings":%s}`, sockets, strings.Join(instances, ","), jsonSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -106,20 +106,20 @@
 }
 
 // demand is what all clients sent and got.
-type demand struct {
-	addr, class                               string
-	ids, served, refused, late, crossed, lost atomic.Int64
-	how                                       atomic.Value // a loss
+type loadGenerator struct {
+	addr, class                                  string
+	ids, served, refused, timedOut, resent, lost atomic.Int64
+	lastLoss                                     atomic.Value // a loss
 }
 
 // client sends one call after another on a connection that it keeps for as long as the sidecar does.
-func (d *demand) client() {
+func (d *loadGenerator) runClient() {
 	var conn net.Conn
 	var r *bufio.Reader
-	for range each {
-		for again := false; ; again = true {
-			kept := conn != nil
-			if !kept {
+	for range callsPerClient {
+		for retried := false; ; retried = true {
+			reused := conn != nil
+			if !reused {
 				var err error
 				if conn, err = net.Dial("tcp", d.addr); err != nil {
 					conn = nil
@@ -135,13 +135,13 @@
 			switch {
 			case err == nil:
 			case errors.Is(err, os.ErrDeadlineExceeded):
-				d.late.Add(1)
-			case kept && !again: // closed between two calls, as a sidecar may
-				d.crossed.Add(1)
+				d.timedOut.Add(1)
+			case reused && !retried: // closed between two calls, as a sidecar may
+				d.resent.Add(1)
 				continue
 			default:
 				d.lost.Add(1)
-				d.how.Store(err.Error())
+				d.lastLoss.Store(err.Error())
 			}
 			break
 		}
@@ -152,7 +152,7 @@
 }
 
 // call makes one call; it tells whether the connection ends with it.
-func (d *demand) call(conn net.Conn, r *bufio.Reader) (closes bool, err error) {
+func (d *loadGenerator) call(conn net.Conn, r *bufio.Reader) (closes bool, err error) {
 	conn.SetDeadline(time.Now().Add(3 * time.Second))
 	fmt.Fprintf(conn, "GET /%s/x HTTP/1.1\r\nX-Trace-Id: %d\r\nX-Expires-In: 3000m\r\n\r\n", cmp.Or(d.class, "availability"), d.ids.Add(1))
 	a, err := http.ReadResponse(r, nil)
@@ -172,7 +172,7 @@
 }
 
 // answering is a worker that serves every call a little later.
-func answering(t testing.TB) string {
+func delayedWorker(t testing.TB) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/program/rules.go
+++ b/internal/program/rules.go
@@ -30,68 +30,68 @@
 }
 
 var (
-	placeName  = regexp.MustCompile(`^[a-z0-9._-]{1,40}$`)
-	headerName = regexp.MustCompile("^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}$")
+	locationPattern   = regexp.MustCompile(`^[a-z0-9._-]{1,40}$`)
+	headerNamePattern = regexp.MustCompile("^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}$")
 )
 
-func (k *RulesConfig) check(f *config.File) {
+func (c *RulesConfig) check(file *config.File) {
 	for _, v := range []struct {
-		key, text, want string
-		is              *regexp.Regexp
+		key, text, expected string
+		pattern             *regexp.Regexp
 	}{
-		{"cluster.island", k.Island, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", placeName},
-		{"cluster.hall", k.Hall, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", placeName},
-		{"cluster.caller", k.Caller, "the name of a header is", headerName},
-		{"cluster.version", k.Version, "the name of a header is", headerName},
-		{"cluster.under_way", k.UnderWay, "the name of a header is", headerName},
+		{"cluster.island", c.Island, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", locationPattern},
+		{"cluster.hall", c.Hall, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", locationPattern},
+		{"cluster.caller", c.Caller, "the name of a header is", headerNamePattern},
+		{"cluster.version", c.Version, "the name of a header is", headerNamePattern},
+		{"cluster.under_way", c.UnderWay, "the name of a header is", headerNamePattern},
 	} {
 		switch {
-		case v.text == "" || f.Failed(v.key):
-		case !v.is.MatchString(v.text):
-			f.Fail(v.key, "%q: %s expected", v.text, v.want)
-		case !k.Rules && !f.Failed("cluster.rules"):
-			f.Fail(v.key, "it says nothing without rules = true")
+		case v.text == "" || file.Failed(v.key):
+		case !v.pattern.MatchString(v.text):
+			file.Fail(v.key, "%q: %s expected", v.text, v.expected)
+		case !c.Rules && !file.Failed("cluster.rules"):
+			file.Fail(v.key, "it says nothing without rules = true")
 		}
 	}
 }
 
-// openRules makes the rules of the member's record the router's gate. Without them it does nothing.
-func (s *Sidecar) openRules() {
-	c := s.config
-	if s.member == nil || !c.Cluster.Rules {
+// initRules makes the rules of the member's record the router's gate. Without them it does nothing.
+func (s *Sidecar) initRules() {
+	config := s.config
+	if s.member == nil || !config.Cluster.Rules {
 		return
 	}
 	zone := ""
-	if c.Decide.Zone < len(c.Names.Zones) {
-		zone = c.Names.Zones[c.Decide.Zone]
+	if config.Decide.Zone < len(config.Names.Zones) {
+		zone = config.Names.Zones[config.Decide.Zone]
 	}
-	k := c.Cluster
-	s.limits = limits.New(limits.Config{Member: s.member, Name: k.Member, Log: s.log})
-	g := enforcement.Config{Member: s.member, Limits: s.limits, Island: cmp.Or(k.Island, zone), Hall: cmp.Or(k.Hall, zone), Log: s.log}
-	for i, name := range c.Names.Classes {
+	cluster := config.Cluster
+	s.limits = limits.New(limits.Config{Member: s.member, Name: cluster.Member, Log: s.log})
+	enforcerConfig := enforcement.Config{Member: s.member, Limits: s.limits, Island: cmp.Or(cluster.Island, zone), Hall: cmp.Or(cluster.Hall, zone), Log: s.log}
+	for i, name := range config.Names.Classes {
 		class := enforcement.Class{Name: name}
-		if d := c.Decide.Classes[i]; d.Effect == decide.Keyed {
-			class.Window = d.Window
+		if settings := config.Decide.Classes[i]; settings.Effect == decide.Keyed {
+			class.Window = settings.Window
 		}
-		g.Classes = append(g.Classes, class)
+		enforcerConfig.Classes = append(enforcerConfig.Classes, class)
 	}
-	s.governor = enforcement.New(g)
-	s.usage = usage.New(usage.Config{Member: s.member, Process: k.Member, Log: s.log})
-	s.versions = enforcement.NewVersions(s.governor, s.usage)
-	s.gate, s.origins = s.versions, &protocol.Origins{Caller: k.Caller, Version: k.Version, UnderWay: k.UnderWay, Segment: k.Segment}
-	expose(s.member, s.governor)
+	s.enforcer = enforcement.New(enforcerConfig)
+	s.usage = usage.New(usage.Config{Member: s.member, Process: cluster.Member, Log: s.log})
+	s.versions = enforcement.NewVersions(s.enforcer, s.usage)
+	s.gate, s.origins = s.versions, &protocol.Origins{Caller: cluster.Caller, Version: cluster.Version, UnderWay: cluster.UnderWay, Segment: cluster.Segment}
+	registerRuleMetrics(s.member, s.enforcer)
 }
 
 // startRules has the rules followed until stop is called, which gives back what this process has of the fleet's limits.
 func (s *Sidecar) startRules() (stop func()) {
-	if s.governor == nil {
+	if s.enforcer == nil {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var done sync.WaitGroup
-	done.Go(func() { s.governor.Run(ctx) })
-	done.Go(func() { s.limits.Run(ctx) })
-	done.Go(func() { s.versions.Run(ctx) })
-	done.Go(func() { s.usage.Run(ctx) })
-	return func() { cancel(); done.Wait() }
+	var running sync.WaitGroup
+	running.Go(func() { s.enforcer.Run(ctx) })
+	running.Go(func() { s.limits.Run(ctx) })
+	running.Go(func() { s.versions.Run(ctx) })
+	running.Go(func() { s.usage.Run(ctx) })
+	return func() { cancel(); running.Wait() }
 }
--- a/internal/program/rules_test.go
+++ b/internal/program/rules_test.go
@@ -31,7 +31,7 @@
 		"rules = \"yes\"":                     "cluster.rules",
 		"rules = true\nversion = \"a:b\"\n":   `cluster.version: "a:b"`,
 	} {
-		_, err := LoadFile(clusterFile(t, section(folder, "", "")+lines+"\n"))
+		_, err := LoadFile(writeClusterFile(t, clusterSection(folder, "", "")+lines+"\n"))
 		if got := fmt.Sprint(err); (err == nil) != (want == "") || err != nil && !strings.Contains(got, want) {
 			t.Errorf("%q: %s, not %s", lines, got, want)
 		}
@@ -40,13 +40,13 @@
 
 // A rule written into the record refuses calls of a whole sidecar with 429 and a time to stay away, counts them on the cluster's address, and
 // lets others pass; taken back, it refuses nothing.
-func TestRulesAtASidecar(t *testing.T) {
-	k := onlyVoter(t)
-	k.RulesConfig = RulesConfig{Rules: true, Caller: "X-Caller", Island: "athens"}
-	o := open(t, k)
+func TestRuleRefusesCalls(t *testing.T) {
+	cluster := singleVoterConfig(t)
+	cluster.RulesConfig = RulesConfig{Rules: true, Caller: "X-Caller", Island: "athens"}
+	sidecar := newTestSidecar(t, cluster)
 	signals, done := make(chan os.Signal, 1), make(chan struct{})
-	go func() { defer close(done); o.Run(signals) }()
-	client, err := net.Dial("tcp", o.Addr().String())
+	go func() { defer close(done); sidecar.Run(signals) }()
+	client, err := net.Dial("tcp", sidecar.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	}
 	write := func(w *record.Write) {
 		t.Helper()
-		if r, err := o.member.Write(context.Background(), w); err != nil || r.Outcome != record.Applied {
+		if r, err := sidecar.member.Write(context.Background(), w); err != nil || r.Outcome != record.Applied {
 			t.Fatal(r, err)
 		}
 	}
@@ -82,11 +82,11 @@
 	if got := call("web") + ", " + call("app"); got != "429 1, 200" {
 		t.Error(got)
 	}
-	figures := get(t, o.member.(interface{ Addr() net.Addr }).Addr().String(), "/metrics")
-	if !strings.Contains(figures, `burlpass_rules_refused_total{rule="*/*/*#callers#r"} `) {
-		t.Error(figures)
+	metrics := get(t, sidecar.member.(interface{ Addr() net.Addr }).Addr().String(), "/metrics")
+	if !strings.Contains(metrics, `burlpass_rules_refused_total{rule="*/*/*#callers#r"} `) {
+		t.Error(metrics)
 	}
-	version := o.member.Replica().Version()
+	version := sidecar.member.Replica().Version()
 	write(&record.Write{ID: "2", By: "root", Base: version, Changes: []record.Change{
 		change(rules.RuleKind, "*/*/*#callers#r", `{"now":null,"past":[{"was":`+rule+`,"by":"root"}]}`)}})
 	for call("web") != "200" {
--- a/internal/program/stage_test.go
+++ b/internal/program/scenario_test.go
@@ -30,46 +30,46 @@
 // forms are in the functions below. What arrives is read by net/http, a parser that is not the project's.
 
 // patience bounds a wait for something that never comes; no test depends on how long things take.
-const patience = 30 * time.Second
+const scenarioTimeout = 30 * time.Second
 
-type stage struct {
-	t        *testing.T
-	addr     string
-	path     string // of the configuration file
-	file     string // a whole one that names the next registry
-	signals  chan os.Signal
-	exited   chan struct{}
-	peers    map[string]*peer
-	workers  []string
-	arrivals map[byte]chan arrival // by the first letter of who expects
-	lines    chan string
-	door     string      // the operators' door
-	state    string      // the folder where what outlives the process is kept
-	told     chan string // its answers, their lines joined by " | "
+type scenarioRun struct {
+	t            *testing.T
+	addr         string
+	configPath   string // of the configuration file
+	configText   string // a whole one that names the next registry
+	signals      chan os.Signal
+	exited       chan struct{}
+	peers        map[string]*peer
+	workers      []string
+	arrivals     map[byte]chan receivedMessage // by the first letter of who expects
+	logLines     chan string
+	adminAddr    string      // the operators' door
+	stateDir     string      // the folder where what outlives the process is kept
+	adminReplies chan string // its answers, their lines joined by " | "
 
-	mu     sync.Mutex
-	always map[byte]string // what a server answers everything with, by its letter
+	mu           sync.Mutex
+	fixedReplies map[byte]string // what a server answers everything with, by its letter
 }
 
 // scenario is what a test plays. The zero values give two workers, both listed up.
 type scenario struct {
-	known   string // entries of the first list, as registry send takes them
-	sockets int
-	set     string // words OLD=>NEW put into the settings, as "discovery":"subscribe"=>"discovery":"automatic"
-	gate    func(call *protocol.Call) routing.Terms
-	script  string
+	known    string // entries of the first list, as registry send takes them
+	sockets  int
+	settings string // words OLD=>NEW put into the settings, as "discovery":"subscribe"=>"discovery":"automatic"
+	gate     func(call *protocol.Call) routing.Terms
+	script   string
 }
 
 // The settings of a deployment whose lists are pushed, and of one that allows second copies.
 const (
-	pushed = `"subscribe"=>"automatic"`
-	copies = `"may_duplicate":false=>"may_duplicate":true "aim_us":600000=>"aim_us":3000000`
+	pushedLists       = `"subscribe"=>"automatic"`
+	allowSecondCopies = `"may_duplicate":false=>"may_duplicate":true "aim_us":600000=>"aim_us":3000000`
 
 	// Two calls are out at the only worker, another is listed, and the second call is copied to that one once both are
 	// overdue: one alone is no evidence against the worker, and a booking is not copied. w2 has its first copy, w3 the
 	// second.
-	copied = `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+	secondCopySent = `
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			z send POST /booking/z id=t0 expires=6000m body=b
 			w1 expect POST /booking/z id=t0 body=b
 			a send GET /availability/x id=t1 expires=6000m
@@ -78,20 +78,20 @@
 			w3 expect GET /availability/x id=t1 at=1`
 )
 
-func play(t *testing.T, s scenario) {
+func playScenario(t *testing.T, s scenario) {
 	t.Helper()
-	st := &stage{t: t, signals: make(chan os.Signal, 1), exited: make(chan struct{}), peers: map[string]*peer{}, always: map[byte]string{},
-		arrivals: map[byte]chan arrival{'w': make(chan arrival, 100), 'r': make(chan arrival, 100), 'n': make(chan arrival, 100)},
-		lines:    make(chan string, 1000), told: make(chan string, 10)}
+	st := &scenarioRun{t: t, signals: make(chan os.Signal, 1), exited: make(chan struct{}), peers: map[string]*peer{}, fixedReplies: map[byte]string{},
+		arrivals: map[byte]chan receivedMessage{'w': make(chan receivedMessage, 100), 'r': make(chan receivedMessage, 100), 'n': make(chan receivedMessage, 100)},
+		logLines: make(chan string, 1000), adminReplies: make(chan string, 10)}
 	for i := range 2 {
 		st.workers = append(st.workers, st.listen('w', fmt.Sprintf(" at=%d", i)))
 	}
-	dead, err := net.Listen("tcp", "127.0.0.1:0") // an address where nobody listens
+	unusedListener, err := net.Listen("tcp", "127.0.0.1:0") // an address where nobody listens
 	if err != nil {
 		t.Fatal(err)
 	}
-	st.workers = append(st.workers, dead.Addr().String())
-	dead.Close()
+	st.workers = append(st.workers, unusedListener.Addr().String())
+	unusedListener.Close()
 	if s.known == "" {
 		s.known = "0=up 1=up"
 	}
@@ -100,19 +100,19 @@
 	}
 	c := &Config{Path: filepath.Join(t.TempDir(), "config.json"), Listen: "127.0.0.1:0", Registry: st.listen('r', ""),
 		Operator: "127.0.0.1:0", StateDir: t.TempDir()}
-	st.state = c.StateDir
-	st.path = c.Path
-	settings := settings
-	for _, word := range strings.Fields(s.set) {
-		old, now, _ := strings.Cut(word, "=>")
-		if strings.Count(settings, old) != 1 {
+	st.stateDir = c.StateDir
+	st.configPath = c.Path
+	jsonText := jsonSettings
+	for _, word := range strings.Fields(s.settings) {
+		old, replacement, _ := strings.Cut(word, "=>")
+		if strings.Count(jsonText, old) != 1 {
 			t.Fatalf("%s does not stand once in the settings", old)
 		}
-		settings = strings.Replace(settings, old, now, 1)
+		jsonText = strings.Replace(jsonText, old, replacement, 1)
 	}
-	st.file = fmt.Sprintf(`{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
-		"known":%s,"discovery":%q,"settings":%s}`, s.sockets, st.list("1 reset "+s.known), st.listen('n', ""), settings)
-	if _, err = c.parse([]byte(st.file)); err != nil {
+	st.configText = fmt.Sprintf(`{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
+		"known":%s,"discovery":%q,"settings":%s}`, s.sockets, st.registryJSON("1 reset "+s.known), st.listen('n', ""), jsonText)
+	if _, err = c.parseJSON([]byte(st.configText)); err != nil {
 		t.Fatal(err)
 	}
 	logger, err := logging.New(st, logging.Options{})
@@ -124,9 +124,9 @@
 		t.Fatal(err)
 	}
 	if s.gate != nil {
-		sidecar.gate, sidecar.origins = asked(s.gate), &protocol.Origins{Caller: "X-Caller", Segment: 1}
+		sidecar.gate, sidecar.origins = gateFunc(s.gate), &protocol.Origins{Caller: "X-Caller", Segment: 1}
 	}
-	st.addr, st.door = sidecar.Addr().String(), sidecar.DoorAddr().String()
+	st.addr, st.adminAddr = sidecar.Addr().String(), sidecar.AdminAddr().String()
 	go func() { defer close(st.exited); sidecar.Run(st.signals) }()
 	defer func() { // a call that is still owed an answer would hold the exit up
 		for _, p := range st.peers {
@@ -148,12 +148,12 @@
 }
 
 // Write takes the sidecar's log.
-func (st *stage) Write(b []byte) (int, error) {
-	st.lines <- string(b)
+func (st *scenarioRun) Write(b []byte) (int, error) {
+	st.logLines <- string(b)
 	return len(b), nil
 }
 
-func (st *stage) step(who, verb, what string) error {
+func (st *scenarioRun) step(who, verb, what string) error {
 	switch verb {
 	case "send":
 		return st.send(who, what)
@@ -163,7 +163,7 @@
 		return st.peers[who].Close()
 	case "serves": // a registry answers every call from now on with this list, also those that wait
 		st.mu.Lock()
-		st.always[who[0]] = answer("200 " + st.list(what))
+		st.fixedReplies[who[0]] = formatResponse("200 " + st.registryJSON(what))
 		st.mu.Unlock()
 		return nil
 	case "together": // lines at the door at once, each on its connection; their answers sorted, joined by " ; "
@@ -177,41 +177,41 @@
 			if err := <-errs; err != nil {
 				return err
 			}
-			answers = append(answers, <-st.told)
+			answers = append(answers, <-st.adminReplies)
 		}
 		slices.Sort(answers)
-		st.told <- strings.Join(answers, " ; ")
+		st.adminReplies <- strings.Join(answers, " ; ")
 		return nil
 	case "wait": // for the other side's close, or the sidecar's exit
 		if who == "sidecar" {
-			return await(st.exited)
+			return waitFor(st.exited)
 		}
-		return await(st.peers[who].gone)
+		return waitFor(st.peers[who].closed)
 	}
 	return fmt.Errorf("unknown verb %q", verb)
 }
 
-func await(c <-chan struct{}) error {
+func waitFor(c <-chan struct{}) error {
 	select {
 	case <-c:
 		return nil
-	case <-time.After(patience):
+	case <-time.After(scenarioTimeout):
 		return fmt.Errorf("it never came")
 	}
 }
 
-func (st *stage) send(who, what string) error {
+func (st *scenarioRun) send(who, what string) error {
 	switch who {
 	case "sidecar":
 		st.signals <- map[string]os.Signal{"TERM": syscall.SIGTERM, "HUP": syscall.SIGHUP}[what]
 		return nil
 	case "folder": // what outlives the process: no write to it succeeds while it is lost
 		if what == "lost" {
-			return os.Rename(st.state, st.state+".lost")
+			return os.Rename(st.stateDir, st.stateDir+".lost")
 		}
-		return os.Rename(st.state+".lost", st.state)
+		return os.Rename(st.stateDir+".lost", st.stateDir)
 	case "operator": // one line at the door, and its whole answer
-		conn, err := net.Dial("tcp", st.door)
+		conn, err := net.Dial("tcp", st.adminAddr)
 		if err != nil {
 			return err
 		}
@@ -220,17 +220,17 @@
 			return err
 		}
 		b, err := io.ReadAll(conn)
-		st.told <- age.ReplaceAllString(strings.ReplaceAll(strings.TrimSpace(string(b)), "\n", " | "), `"list_age_ms":T`)
+		st.adminReplies <- listAgePattern.ReplaceAllString(strings.ReplaceAll(strings.TrimSpace(string(b)), "\n", " | "), `"list_age_ms":T`)
 		return err
 	case "file":
 		text := what
 		switch what {
 		case "next":
-			text = st.file
+			text = st.configText
 		case "asked": // the same, in another deployment's way
-			text = strings.Replace(st.file, "automatic", "subscribe", 1)
+			text = strings.Replace(st.configText, "automatic", "subscribe", 1)
 		}
-		return os.WriteFile(st.path, []byte(text), 0o600)
+		return os.WriteFile(st.configPath, []byte(text), 0o600)
 	}
 	p := st.peers[who]
 	if p == nil {
@@ -240,18 +240,18 @@
 		}
 		p = newPeer(conn)
 		st.peers[who] = p
-		go p.read(readAnswer, nil)
+		go p.read(readResponse, nil)
 	}
 	raw, err := strconv.Unquote(what)
-	raw = expand(raw)
+	raw = expandFiller(raw)
 	if err != nil {
 		switch {
 		case who == "registry", who == "next":
-			raw = answer("200 " + st.list(what))
+			raw = formatResponse("200 " + st.registryJSON(what))
 		case who[0] == 'w':
-			raw = answer(what)
+			raw = formatResponse(what)
 		default:
-			raw = request(what)
+			raw = formatCall(what)
 		}
 	}
 	_, err = io.WriteString(p, raw)
@@ -261,18 +261,18 @@
 	return err
 }
 
-func (st *stage) expect(who, what string) error {
-	late := time.After(patience)
+func (st *scenarioRun) expect(who, what string) error {
+	late := time.After(scenarioTimeout)
 	if who == "state" { // the file of the workers disabled by hand
-		b, err := os.ReadFile(filepath.Join(st.state, "burlpass-.maintenance"))
+		b, err := os.ReadFile(filepath.Join(st.stateDir, "burlpass-.maintenance"))
 		if err != nil {
 			return err
 		}
-		return cmpDiff(what, strings.TrimSpace(string(b)))
+		return diffError(what, strings.TrimSpace(string(b)))
 	}
 	for who == "log" {
 		select {
-		case line := <-st.lines:
+		case line := <-st.logLines:
 			if strings.Contains(line, what) {
 				return nil
 			}
@@ -283,10 +283,10 @@
 	var got string
 	var from chan string
 	if p := st.peers[who]; p != nil && st.arrivals[who[0]] == nil {
-		from = p.got
+		from = p.messages
 	}
 	if who == "operator" {
-		from = st.told
+		from = st.adminReplies
 	}
 	select {
 	case got = <-from:
@@ -305,7 +305,7 @@
 }
 
 // listen plays a server whose requests go to whoever expects one under that letter.
-func (st *stage) listen(letter byte, mark string) string {
+func (st *scenarioRun) listen(letter byte, mark string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		st.t.Fatal(err)
@@ -321,13 +321,13 @@
 			p := newPeer(conn)
 			go p.read(readRequest, func(text string) {
 				st.mu.Lock()
-				always := st.always[letter]
+				always := st.fixedReplies[letter]
 				st.mu.Unlock()
 				if always != "" {
 					io.WriteString(p, always)
 					return
 				}
-				st.arrivals[letter] <- arrival{p, text + mark}
+				st.arrivals[letter] <- receivedMessage{p, text + mark}
 			})
 		}
 	}()
--- a/internal/program/text_test.go
+++ b/internal/program/scenario_text_test.go
@@ -10,7 +10,7 @@
 	gocmp "github.com/google/go-cmp/cmp"
 )
 
-const settings = `{"balancers":3,"ordinal":0,"period_us":5000,"zone":0,"zones":["hall-a","hall-b"],
+const jsonSettings = `{"balancers":3,"ordinal":0,"period_us":5000,"zone":0,"zones":["hall-a","hall-b"],
 "machine_types":["new","old"],"discovery":"subscribe","weights":"rough","tenants":[],
 "ceilings":{"cancelling":true,"connect_timeout_us":250000,"idle_close_us":5000000,"max_attempts":3,
  "max_retry_after_us":1500000,"may_duplicate":false,"probing":true,"retry_after":true},
@@ -24,7 +24,7 @@
   "deadline_us":2500000,"importance":10.0,"late_worth":0.25}]}`
 
 // Long messages stand in a script as <N> or <N+FROM>: N bytes of a text that goes on without end, from a place in it.
-var stretch = regexp.MustCompile(`<(\d+)(?:\+(\d+))?>`)
+var fillerPattern = regexp.MustCompile(`<(\d+)(?:\+(\d+))?>`)
 
 func filler(n, from int) string {
 	b := make([]byte, n)
@@ -34,9 +34,9 @@
 	return string(b)
 }
 
-func expand(raw string) string {
-	return stretch.ReplaceAllStringFunc(raw, func(m string) string {
-		parts := stretch.FindStringSubmatch(m)
+func expandFiller(raw string) string {
+	return fillerPattern.ReplaceAllStringFunc(raw, func(m string) string {
+		parts := fillerPattern.FindStringSubmatch(m)
 		n, _ := strconv.Atoi(parts[1])
 		from, _ := strconv.Atoi(parts[2])
 		return filler(n, from)
@@ -44,7 +44,7 @@
 }
 
 // shorten is how a long body stands in a script.
-func shorten(b []byte) string {
+func abbreviateBody(b []byte) string {
 	switch {
 	case len(b) <= 1000:
 		return string(b)
@@ -55,7 +55,7 @@
 }
 
 // request makes a client's request of "METHOD target name=value ...".
-func request(what string) string {
+func formatCall(what string) string {
 	words := strings.Fields(what)
 	class := strings.Split(words[1], "/")[1]
 	head, body := words[0]+" "+words[1]+" HTTP/1.1\r\nHost: service.internal\r\nX-Qos: "+class+"\r\n", ""
@@ -73,7 +73,7 @@
 }
 
 // answer makes a worker's answer of "STATUS BODY"; the body never-ran stands for the header.
-func answer(what string) string {
+func formatResponse(what string) string {
 	status, body, _ := strings.Cut(what, " ")
 	extra := ""
 	if body == "never-ran" {
@@ -83,14 +83,14 @@
 }
 
 // age is the one figure that no script can foretell.
-var age = regexp.MustCompile(`"list_age_ms":\d+`)
+var listAgePattern = regexp.MustCompile(`"list_age_ms":\d+`)
 
-var entry = regexp.MustCompile(`(\d)=(\w+)(?:@(\S+))?`)
+var listEntryPattern = regexp.MustCompile(`(\d)=(\w+)(?:@(\S+))?`)
 
 // list makes the registry's JSON of "GENERATION [reset] WORKER=LIFECYCLE[@ZONE] ...".
-func (st *stage) list(what string) string {
+func (st *scenarioRun) registryJSON(what string) string {
 	items := []string{}
-	for _, m := range entry.FindAllStringSubmatch(what, -1) {
+	for _, m := range listEntryPattern.FindAllStringSubmatch(what, -1) {
 		n, _ := strconv.Atoi(m[1])
 		items = append(items, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":%q,"machineType":"new",
 			"cell":0,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`, n, st.workers[n], cmp.Or(m[3], "hall-a"), m[2]))
@@ -99,7 +99,7 @@
 		strings.Contains(what, "reset"), strings.Join(items, ","))
 }
 
-func cmpDiff(want, got string) error {
+func diffError(want, got string) error {
 	if diff := gocmp.Diff(want, got); diff != "" {
 		return fmt.Errorf("(-want +got)\n%s", diff)
 	}
--- a/internal/program/sidecar_test.go
+++ b/internal/program/sidecar_test.go
@@ -89,55 +89,55 @@
 			a expect 200 ok`},
 		// Nothing new reaches a worker after its drain is told; the watch goes on by itself.
 		"drain": {script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			registry send 2 0=draining
-			registry expect GET /catalog/members?since=2&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=2&timeout_ms=RANDOM
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1 at=1
 			w1 send 200 ok
 			a expect 200 ok
 			registry send 3 reset 0=up
-			registry expect GET /catalog/members?since=3&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=3&timeout_ms=RANDOM
 			a send GET /availability/x id=t2 expires=2000m
 			w1 expect GET /availability/x id=t2 at=0
 			w1 send 200 ok
 			a expect 200 ok`},
 		// Bad data leaves the old list in force, and the watch is taken up again.
 		"bad registry data": {known: "0=up", script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			registry send "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"x\":"
 			log expect event=registry_failed
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 send 200 ok
 			a expect 200 ok
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN`},
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM`},
 		// A reload moves to the registry that the file names now, whole list first and whatever its count; the
 		// old one's end is no failure, which a later watch than the first would show.
 		"reload": {script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			file send next
 			sidecar send HUP
 			next expect GET /catalog/members
 			registry wait
 			next send 0 reset 1=up
-			next expect GET /catalog/members?since=0&timeout_ms=DRAWN
+			next expect GET /catalog/members?since=0&timeout_ms=RANDOM
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1 at=1
 			w1 send 200 ok
 			a expect 200 ok
 			next send 1 0=up 1=draining
-			next expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			next expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			a send GET /availability/x id=t2 expires=2000m
 			w1 expect GET /availability/x id=t2 at=0`},
 		// A file with any fault changes nothing and stops nothing.
 		"reload of a bad file": {known: "0=up", script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			file send {"discovery":"127.0.0.1:1"}
 			sidecar send HUP
 			log expect event=reload_failed
 			registry send 2 0=draining 1=up
-			registry expect GET /catalog/members?since=2&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=2&timeout_ms=RANDOM
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1 at=1`},
 		// A reload that meets the stop ends neither early nor never.
@@ -240,7 +240,7 @@
 			a expect 200 close ok`},
 		// Idle clients hold all that is theirs, and discovery answers nothing: operators, a new client and its attempt come through.
 		"idle clients while discovery is silent": {known: "0=up", sockets: 16, script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			a send ""
 			b send ""
 			c send ""
@@ -345,6 +345,6 @@
 			a expect 413 close
 			a wait`},
 	} {
-		t.Run(name, func(t *testing.T) { t.Parallel(); play(t, s) })
+		t.Run(name, func(t *testing.T) { t.Parallel(); playScenario(t, s) })
 	}
 }
--- a/internal/program/stopped_test.go
+++ b/internal/program/stalled_client_test.go
@@ -17,23 +17,23 @@
 )
 
 // owedWithin is what a client that stops in the middle of a request is owed: an error or a close, counted from its last byte.
-const owedWithin = 3 * time.Second
+const stalledClientLimit = 3 * time.Second
 
 // giveUp bounds a wait for what never comes.
-const giveUp = 12 * time.Second
+const waitLimit = 12 * time.Second
 
 // wholeRequest is the request within which clients stop.
-const wholeRequest = "POST /booking/x HTTP/1.1\r\nX-Trace-Id: %s\r\nX-Qos: booking\r\nX-Expires-In: 2500m\r\nContent-Length: 20\r\n\r\n01234567890123456789"
+const bookingTemplate = "POST /booking/x HTTP/1.1\r\nX-Trace-Id: %s\r\nX-Qos: booking\r\nX-Expires-In: 2500m\r\nContent-Length: 20\r\n\r\n01234567890123456789"
 
 // openFor is how long the request is open behind which clients stop.
-const openFor = 1500 * time.Millisecond
+const slowResponseTime = 1500 * time.Millisecond
 
 // slowBackend answers /slow paths after openFor, and all else at once.
-func slowBackend(t *testing.T) string {
+func slowPathWorker(t *testing.T) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if strings.HasSuffix(r.URL.Path, "/slow") {
-			time.Sleep(openFor)
+			time.Sleep(slowResponseTime)
 		}
 		io.WriteString(w, "ok")
 	}))
@@ -42,33 +42,33 @@
 }
 
 // stopping is a client that stops in the middle of a request.
-type stopping struct {
-	before string // a whole request that is answered first
-	open   string // a whole request sent right before the part, whose answer comes first
-	part   string // what is sent of the request before the client stops
+type stalledClient struct {
+	first     string // a whole request that is answered first
+	pipelined string // a whole request sent right before the part, whose answer comes first
+	partial   string // what is sent of the request before the client stops
 }
 
 // play returns how long after its last byte the client got the first byte of an error, or the end.
-func (s stopping) play(addr string) (time.Duration, error) {
+func (s stalledClient) run(addr string) (time.Duration, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(giveUp))
+	conn.SetDeadline(time.Now().Add(waitLimit))
 	r := bufio.NewReader(conn)
-	if s.before != "" {
-		io.WriteString(conn, s.before)
-		if err := skipAnswer(r); err != nil {
+	if s.first != "" {
+		io.WriteString(conn, s.first)
+		if err := skipResponse(r); err != nil {
 			return 0, fmt.Errorf("the request before: %w", err)
 		}
 	}
-	if _, err := io.WriteString(conn, s.open+s.part); err != nil {
+	if _, err := io.WriteString(conn, s.pipelined+s.partial); err != nil {
 		return 0, err
 	}
 	stopped := time.Now()
-	if s.open != "" {
-		if err := skipAnswer(r); err != nil {
+	if s.pipelined != "" {
+		if err := skipResponse(r); err != nil {
 			return 0, fmt.Errorf("the open request: %w", err)
 		}
 	}
@@ -79,7 +79,7 @@
 	return time.Since(stopped), nil
 }
 
-func skipAnswer(r *bufio.Reader) error {
+func skipResponse(r *bufio.Reader) error {
 	answer, err := http.ReadResponse(r, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, answer.Body)
@@ -88,117 +88,117 @@
 }
 
 // playAll plays all clients at once and reports the worst of those that were not ended in time.
-func playAll(t *testing.T, addr string, clients []stopping) {
+func checkStalledClients(t *testing.T, addr string, clients []stalledClient) {
 	t.Helper()
 	var (
-		all   sync.WaitGroup
-		mu    sync.Mutex
-		late  int
-		worst time.Duration
-		which string
+		all         sync.WaitGroup
+		mu          sync.Mutex
+		late        int
+		worst       time.Duration
+		worstDetail string
 	)
 	for _, client := range clients {
 		all.Go(func() {
-			took, err := client.play(addr)
+			took, err := client.run(addr)
 			mu.Lock()
 			defer mu.Unlock()
-			if took <= owedWithin && err == nil {
+			if took <= stalledClientLimit && err == nil {
 				return
 			}
 			if late++; took >= worst {
-				worst, which = took, fmt.Sprintf("after %d bytes: %v", len(client.part), err)
+				worst, worstDetail = took, fmt.Sprintf("after %d bytes: %v", len(client.partial), err)
 			}
 		})
 	}
 	all.Wait()
 	if late > 0 {
-		t.Errorf("%d of %d clients ended too late, the last after %v (%s)", late, len(clients), worst.Round(time.Millisecond), which)
+		t.Errorf("%d of %d clients ended too late, the last after %v (%s)", late, len(clients), worst.Round(time.Millisecond), worstDetail)
 	}
 }
 
-var lastTrace struct {
+var traceCounter struct {
 	sync.Mutex
 	n int
 }
 
 // freshTrace returns an id that no request has had.
-func freshTrace() string {
-	lastTrace.Lock()
-	defer lastTrace.Unlock()
-	lastTrace.n++
-	return fmt.Sprintf("stopped-%06d", lastTrace.n)
+func newTraceID() string {
+	traceCounter.Lock()
+	defer traceCounter.Unlock()
+	traceCounter.n++
+	return fmt.Sprintf("stopped-%06d", traceCounter.n)
 }
 
 // booking is a whole request with an id of its own.
-func booking() string { return fmt.Sprintf(wholeRequest, freshTrace()) }
+func bookingCall() string { return fmt.Sprintf(bookingTemplate, newTraceID()) }
 
 // A client that stops at any byte of a request and stays is owed an error or a close within owedWithin.
-func TestStoppedClients(t *testing.T) {
-	slow := func() string { return strings.Replace(booking(), "/booking/x", "/booking/slow", 1) }
+func TestStalledClients(t *testing.T) {
+	slow := func() string { return strings.Replace(bookingCall(), "/booking/x", "/booking/slow", 1) }
 	none := func() string { return "" }
-	for name, kind := range map[string]struct{ before, open func() string }{
+	for name, kind := range map[string]struct{ first, pipelined func() string }{
 		"first on a connection":  {none, none},
-		"later on a connection":  {booking, none},
+		"later on a connection":  {bookingCall, none},
 		"behind an open request": {none, slow},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, addr := start(t, slowBackend(t), 2048)
-			var clients []stopping
-			for n := 1; n < len(booking()); n++ {
-				clients = append(clients, stopping{kind.before(), kind.open(), booking()[:n]})
+			_, addr := startSidecar(t, slowPathWorker(t), 2048)
+			var clients []stalledClient
+			for n := 1; n < len(bookingCall()); n++ {
+				clients = append(clients, stalledClient{kind.first(), kind.pipelined(), bookingCall()[:n]})
 			}
-			playAll(t, addr, clients)
+			checkStalledClients(t, addr, clients)
 		})
 	}
 	t.Run("in other framings", func(t *testing.T) {
 		t.Parallel()
-		_, addr := start(t, slowBackend(t), 1024)
-		chunked := strings.Replace(booking(), "Content-Length: 20", "Transfer-Encoding: chunked", 1)
+		_, addr := startSidecar(t, slowPathWorker(t), 1024)
+		chunked := strings.Replace(bookingCall(), "Content-Length: 20", "Transfer-Encoding: chunked", 1)
 		chunked, _, _ = strings.Cut(chunked, "0123")
-		long := strings.Replace(booking(), "Content-Length: 20", "Content-Length: 61440", 1)
-		waits := strings.Replace(long, "X-Qos", "Expect: 100-continue\r\nX-Qos", 1)
-		playAll(t, addr, []stopping{
-			{part: chunked + "40\r\nabc"}, {part: chunked + "3\r\nabc\r\n"}, {part: chunked + "3\r\nabc\r\n0\r\n"},
-			{part: long + strings.Repeat("x", 30<<10)}, {part: strings.TrimSuffix(waits, "01234567890123456789")},
+		long := strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 61440", 1)
+		expectContinue := strings.Replace(long, "X-Qos", "Expect: 100-continue\r\nX-Qos", 1)
+		checkStalledClients(t, addr, []stalledClient{
+			{partial: chunked + "40\r\nabc"}, {partial: chunked + "3\r\nabc\r\n"}, {partial: chunked + "3\r\nabc\r\n0\r\n"},
+			{partial: long + strings.Repeat("x", 30<<10)}, {partial: strings.TrimSuffix(expectContinue, "01234567890123456789")},
 		})
 	})
 	t.Run("hundreds beyond the bound of connections", func(t *testing.T) {
 		t.Parallel()
-		_, addr := start(t, slowBackend(t), 1024)
-		clients := make([]stopping, 700)
+		_, addr := startSidecar(t, slowPathWorker(t), 1024)
+		clients := make([]stalledClient, 700)
 		for i := range clients {
-			request := booking()
-			clients[i].part = request[:len(request)-10]
+			request := bookingCall()
+			clients[i].partial = request[:len(request)-10]
 		}
 		served := make(chan error, 1)
-		go func() { served <- wholeBeside(addr) }()
-		playAll(t, addr, clients)
+		go func() { served <- sendWholeCalls(addr) }()
+		checkStalledClients(t, addr, clients)
 		if err := <-served; err != nil {
 			t.Errorf("a whole request beside them: %v", err)
 		}
 	})
 	t.Run("a long body to a backend that does not read", func(t *testing.T) {
 		t.Parallel()
-		_, addr := start(t, deafBackend(t), 1024)
-		request := strings.Replace(booking(), "Content-Length: 20", "Content-Length: 16777216", 1)
-		playAll(t, addr, []stopping{{part: request + strings.Repeat("x", 300<<10)}})
+		_, addr := startSidecar(t, nonReadingWorker(t), 1024)
+		request := strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 16777216", 1)
+		checkStalledClients(t, addr, []stalledClient{{partial: request + strings.Repeat("x", 300<<10)}})
 	})
 }
 
 // wholeBeside sends whole requests while others stop, each on a connection of its own; each has to have its answer in time.
-func wholeBeside(addr string) error {
+func sendWholeCalls(addr string) error {
 	for range 10 {
-		begun := time.Now()
+		start := time.Now()
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return err
 		}
-		conn.SetDeadline(begun.Add(giveUp))
-		io.WriteString(conn, booking())
-		err = skipAnswer(bufio.NewReader(conn))
+		conn.SetDeadline(start.Add(waitLimit))
+		io.WriteString(conn, bookingCall())
+		err = skipResponse(bufio.NewReader(conn))
 		conn.Close()
-		if took := time.Since(begun); err != nil || took > 2500*time.Millisecond {
+		if took := time.Since(start); err != nil || took > 2500*time.Millisecond {
 			return fmt.Errorf("after %v: %v", took, err)
 		}
 	}
@@ -206,10 +206,10 @@
 }
 
 // deafBackend accepts connections and reads nothing.
-func deafBackend(t *testing.T) string { return scriptedBackend(t, func(net.Conn) {}) }
+func nonReadingWorker(t *testing.T) string { return scriptedWorker(t, func(net.Conn) {}) }
 
 // scriptedBackend accepts connections, shows each to serve, and closes them when the test is over.
-func scriptedBackend(t *testing.T, serve func(net.Conn)) string {
+func scriptedWorker(t *testing.T, serve func(net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -229,7 +229,7 @@
 }
 
 // beginningBackend begins a long answer of which it sends n bytes, and stops.
-func beginningBackend(t *testing.T, n int) string {
+func partialResponseWorker(t *testing.T, n int) string {
 	ended := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "16777216")
@@ -242,21 +242,21 @@
 }
 
 // A client whose backend stops within an answer that has begun sees the broken end in its time, and half a second.
-func TestBackendStopsWithinAnswer(t *testing.T) {
+func TestWorkerStallsWithinResponse(t *testing.T) {
 	t.Parallel()
-	_, addr := start(t, beginningBackend(t, 100<<10), 256)
+	_, addr := startSidecar(t, partialResponseWorker(t, 100<<10), 256)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	begun := time.Now()
-	conn.SetDeadline(begun.Add(giveUp))
-	io.WriteString(conn, strings.Replace(booking(), "2500m", "1000m", 1))
-	if err := skipAnswer(bufio.NewReader(conn)); err == nil {
+	start := time.Now()
+	conn.SetDeadline(start.Add(waitLimit))
+	io.WriteString(conn, strings.Replace(bookingCall(), "2500m", "1000m", 1))
+	if err := skipResponse(bufio.NewReader(conn)); err == nil {
 		t.Error("an answer that was not whole looks whole")
 	}
-	if took := time.Since(begun); took > owedWithin {
+	if took := time.Since(start); took > stalledClientLimit {
 		t.Errorf("the broken end came after %v", took)
 	}
 }
@@ -266,17 +266,17 @@
 func TestExitInTime(t *testing.T) {
 	const bound = 3700 * time.Millisecond // the settings' longest deadline is 3 s
 	for name, kind := range map[string]struct {
-		backend func(t *testing.T) string
-		send    string
+		worker func(t *testing.T) string
+		send   string
 	}{
-		"a client that does not read a long answer": {endlessBackend, booking()},
-		"a backend that stops within an answer":     {func(t *testing.T) string { return beginningBackend(t, 100<<10) }, booking()},
-		"a backend that takes no body":              {deafBackend, strings.Replace(booking(), "Content-Length: 20", "Content-Length: 16777216", 1) + strings.Repeat("x", 300<<10)},
-		"a time beyond the longest deadline":        {deafBackend, strings.Replace(booking(), "2500m", "60000m", 1)},
+		"a client that does not read a long answer": {largeResponseWorker, bookingCall()},
+		"a backend that stops within an answer":     {func(t *testing.T) string { return partialResponseWorker(t, 100<<10) }, bookingCall()},
+		"a backend that takes no body":              {nonReadingWorker, strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 16777216", 1) + strings.Repeat("x", 300<<10)},
+		"a time beyond the longest deadline":        {nonReadingWorker, strings.Replace(bookingCall(), "2500m", "60000m", 1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, addr := start(t, kind.backend(t), 256)
+			c, addr := startSidecar(t, kind.worker(t), 256)
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
@@ -286,7 +286,7 @@
 			if _, err := io.WriteString(conn, kind.send); err != nil {
 				t.Fatal(err)
 			}
-			untilOpen(t, addr)
+			waitUntilReceived(t, addr)
 			signalled := time.Now()
 			c.Process.Signal(syscall.SIGTERM)
 			exited := make(chan error, 1)
@@ -296,16 +296,16 @@
 				if took := time.Since(signalled); took > bound || err != nil {
 					t.Errorf("exit after %v: %v", took, err)
 				}
-			case <-time.After(giveUp):
+			case <-time.After(waitLimit):
 				c.Process.Kill()
-				t.Errorf("no exit within %v", giveUp)
+				t.Errorf("no exit within %v", waitLimit)
 			}
 		})
 	}
 }
 
 // endlessBackend answers with 16 MiB.
-func endlessBackend(t *testing.T) string {
+func largeResponseWorker(t *testing.T) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "16777216")
 		w.Write(make([]byte, 16<<20))
@@ -315,7 +315,7 @@
 }
 
 // untilOpen returns once the sidecar has answered two requests for its health, each behind all that was sent before.
-func untilOpen(t *testing.T, addr string) {
+func waitUntilReceived(t *testing.T, addr string) {
 	t.Helper()
 	for range 2 {
 		conn, err := net.Dial("tcp", addr)
@@ -323,7 +323,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(conn, "GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
-		skipAnswer(bufio.NewReader(conn))
+		skipResponse(bufio.NewReader(conn))
 		conn.Close()
 	}
 }
--- a/internal/program/folder_test.go
+++ b/internal/program/state_dir_test.go
@@ -4,8 +4,8 @@
 
 // What cannot be kept for the next process is refused and changes nothing; once the folder takes writes again, so do the
 // orders. What was acknowledged before is still owed.
-func TestFolderThatRefusesWrites(t *testing.T) {
-	play(t, scenario{script: `
+func TestUnwritableStateDir(t *testing.T) {
+	playScenario(t, scenario{script: `
 		operator send DISABLE s-1
 		operator expect ACK disabled s-1
 		folder send lost
--- a/internal/program/streaming_test.go
+++ b/internal/program/streaming_test.go
@@ -6,14 +6,14 @@
 )
 
 // Messages longer than the sidecar holds pass as they come, in both directions.
-func TestLongMessages(t *testing.T) {
+func TestStreamedBodies(t *testing.T) {
 	const (
-		post   = `POST /booking/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Expires-In: 3000m\r\n`
-		upload = `"` + post + `Content-Length: 100000\r\n\r\n<20000>"`
-		begun  = `
+		post          = `POST /booking/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Expires-In: 3000m\r\n`
+		upload        = `"` + post + `Content-Length: 100000\r\n\r\n<20000>"`
+		partialUpload = `
 			a send ` + upload + `
 			w1 expect begins POST /booking/x`
-		other = ` 
+		nextCallSucceeds = ` 
 			b send GET /availability/y id=t9 expires=3000m
 			w2 expect GET /availability/y id=t9
 			w2 send 200 ok
@@ -50,7 +50,7 @@
 			a expect begins 200
 			w1 send "<30000+40000>"
 			w1 close
-			a expect 200 <70000>` + other},
+			a expect 200 <70000>` + nextCallSucceeds},
 		"short answer up to the connection's end": {script: get + `
 			w1 send "HTTP/1.0 200 OK\r\n\r\nshort"
 			w1 close
@@ -60,19 +60,19 @@
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n<100000>"
 			a expect begins 200
 			w1 close
-			a wait` + other},
+			a wait` + nextCallSucceeds},
 		"chunks break off": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4e20\r\n<20000>\r\nzz\r\n"
 			a expect begins 200
-			a wait` + other},
+			a wait` + nextCallSucceeds},
 		"client leaves amid an answer": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n<100000>"
 			a expect begins 200
 			a close
 			w1 send "<1000000>"
-			w1 wait` + other},
+			w1 wait` + nextCallSucceeds},
 		// The worker has the beginning while the client still sends.
-		"body": {script: begun + `
+		"body": {script: partialUpload + `
 			a send "<80000+20000>"
 			w1 expect POST /booking/x id=t1 body=<100000>
 			w1 send 200 ok
@@ -96,33 +96,33 @@
 			w1 send 200 ok
 			a expect 200 ok`},
 		// What has been passed on is held nowhere: nobody else gets the call. It never ran, so the client may try again.
-		"worker dies amid a body": {script: begun + `
+		"worker dies amid a body": {script: partialUpload + `
 			w1 close
 			a send "<80000+20000>"
-			a expect 503 close` + other},
-		"worker turns a body away": {script: begun + `
+			a expect 503 close` + nextCallSucceeds},
+		"worker turns a body away": {script: partialUpload + `
 			w1 send "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 			a send "<40000+20000>"
 			a send "<40000+60000>"
-			a expect 503 close` + other},
+			a expect 503 close` + nextCallSucceeds},
 		// After the last byte it may have run, and a booking is not tried again.
-		"worker dies after a body": {script: begun + `
+		"worker dies after a body": {script: partialUpload + `
 			a send "<80000+20000>"
 			w1 expect POST /booking/x id=t1 body=<100000>
 			w1 close
-			a expect 502` + other},
-		"client leaves at the last byte": {script: begun + `
+			a expect 502` + nextCallSucceeds},
+		"client leaves at the last byte": {script: partialUpload + `
 			a send "<79999+20000>"
 			a close
-			w1 wait` + other},
-		"client stalls": {script: strings.Replace(begun, "3000m", "9000m", 1) + `
+			w1 wait` + nextCallSucceeds},
+		"client stalls": {script: strings.Replace(partialUpload, "3000m", "9000m", 1) + `
 			a expect 408 close
-			w1 wait` + other},
+			w1 wait` + nextCallSucceeds},
 		// What comes unseen behind a worker that takes nothing may be the last byte: the client's time is over then.
-		"client stalls for all its time": {script: strings.Replace(begun, "3000m", "500m", 1) + `
+		"client stalls for all its time": {script: strings.Replace(partialUpload, "3000m", "500m", 1) + `
 			a expect 503 close
-			w1 wait` + other},
-		"planned end amid a body": {script: begun + `
+			w1 wait` + nextCallSucceeds},
+		"planned end amid a body": {script: partialUpload + `
 			sidecar send TERM
 			log expect event=drain
 			a send "<80000+20000>"
@@ -133,7 +133,7 @@
 			a expect 200 close <300000>
 			sidecar wait`},
 		"drain amid a body": {script: `
-			registry expect GET /catalog/members?since=1&timeout_ms=DRAWN` + begun + `
+			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM` + partialUpload + `
 			registry send 2 0=draining 1=draining
 			log expect generation=2
 			a send "<80000+20000>"
@@ -149,6 +149,6 @@
 			a expect begins 200
 			a expect 200 <33554432>`},
 	} {
-		t.Run(name, func(t *testing.T) { t.Parallel(); play(t, s) })
+		t.Run(name, func(t *testing.T) { t.Parallel(); playScenario(t, s) })
 	}
 }
--- a/internal/program/failing_test.go
+++ b/internal/program/syscall_failure_test.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	failingShare    = 0.1 // of the calls of a kind
-	failingClients  = 4
-	failingRequests = 30 // of each client
-	failingAnswer   = "the whole answer of the backend"
+	syscallFailureRate  = 0.1 // of the calls of a kind
+	failureTestClients  = 4
+	failureTestCalls    = 30 // of each client
+	failureTestResponse = "the whole answer of the backend"
 )
 
 // counted are two backends that count how often they were sent each request, by its id.
-func counted(t *testing.T) (addrs string, most func() (id string, times int)) {
+func countingWorkers(t *testing.T) (addrs string, mostAttempts func() (id string, times int)) {
 	var mu sync.Mutex
 	times := map[string]int{}
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,7 @@
 			times[id]++
 		}
 		mu.Unlock()
-		io.WriteString(w, failingAnswer)
+		io.WriteString(w, failureTestResponse)
 	})
 	one, other := httptest.NewServer(serve), httptest.NewServer(serve)
 	t.Cleanup(one.Close)
@@ -57,14 +57,14 @@
 }
 
 // oneAnswer sends a request on a connection of its own, and checks that one whole and final answer comes, and then the end.
-func oneAnswer(addr, request string) (status int, err error) {
+func callOnce(addr, call string) (status int, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(giveUp))
-	if _, err := io.WriteString(conn, strings.Replace(request, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)); err != nil {
+	conn.SetDeadline(time.Now().Add(waitLimit))
+	if _, err := io.WriteString(conn, strings.Replace(call, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)); err != nil {
 		return 0, err
 	}
 	r := bufio.NewReader(conn)
@@ -76,7 +76,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if a.StatusCode == http.StatusOK && string(body) != failingAnswer {
+	if a.StatusCode == http.StatusOK && string(body) != failureTestResponse {
 		return 0, fmt.Errorf("200 with %q", body)
 	}
 	if more, _ := io.ReadAll(r); len(more) > 0 {
@@ -88,27 +88,27 @@
 // While a tenth of the system calls of a kind fail, every request gets its one answer, and none that may have run goes out again.
 // The requests are of a class that must not be repeated.
 func TestFailingSystemCalls(t *testing.T) {
-	lawful := map[int]bool{http.StatusOK: true, http.StatusBadGateway: true, http.StatusServiceUnavailable: true, http.StatusGatewayTimeout: true}
+	allowedStatus := map[int]bool{http.StatusOK: true, http.StatusBadGateway: true, http.StatusServiceUnavailable: true, http.StatusGatewayTimeout: true}
 	for _, kind := range faultnet.Kinds() {
 		t.Run(kind.String(), func(t *testing.T) {
-			t.Setenv(failingEnv, strconv.Itoa(int(kind)))
-			backends, most := counted(t)
+			t.Setenv(failingSyscallEnv, strconv.Itoa(int(kind)))
+			workers, mostAttempts := countingWorkers(t)
 			log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer log.Close()
-			_, addr := startLogged(t, backends, 256, log)
+			_, addr := startSidecarWithLog(t, workers, 256, log)
 			var mu sync.Mutex
 			answers := map[int]int{}
 			var clients sync.WaitGroup
-			for range failingClients {
+			for range failureTestClients {
 				clients.Go(func() {
-					for range failingRequests {
-						status, err := oneAnswer(addr, booking())
+					for range failureTestCalls {
+						status, err := callOnce(addr, bookingCall())
 						mu.Lock()
 						answers[status]++
-						if err != nil || !lawful[status] {
+						if err != nil || !allowedStatus[status] {
 							t.Errorf("%d, %v", status, err)
 						}
 						mu.Unlock()
@@ -120,7 +120,7 @@
 			if text, err := os.ReadFile(log.Name()); err != nil || strings.Contains(string(text), invariant.Event) {
 				t.Errorf("an invariant was broken: %v\n%s", err, text)
 			}
-			if id, times := most(); times > 1 {
+			if id, times := mostAttempts(); times > 1 {
 				t.Errorf("the backends were sent %s %d times", id, times)
 			}
 			if answers[http.StatusOK] == 0 {
@@ -128,8 +128,8 @@
 			}
 			// Neither has anything to do with what a request may get.
 			if kind == faultnet.Accept || kind == faultnet.ShortRead {
-				if served := answers[http.StatusOK]; served != failingClients*failingRequests {
-					t.Errorf("%d of %d were served", served, failingClients*failingRequests)
+				if served := answers[http.StatusOK]; served != failureTestClients*failureTestCalls {
+					t.Errorf("%d of %d were served", served, failureTestClients*failureTestCalls)
 				}
 			}
 		})
--- a/internal/sim/mutant.go
+++ b/internal/sim/mutant.go
@@ -100,11 +100,11 @@
 		one("feed-alone", "where lists are pushed no second call goes out beside a silent one", "internal/routing/feed.go",
 			"} else if out <= feedCalls {", "} else if false {"),
 		{"late-calls-dropped", "after a SIGTERM's time calls are still read, and the process ends without their answers", []Edit{
-			{"internal/program/run.go", "	shut()\n	ended :=", "	ended :="},
-			{"internal/program/run.go", "		<-stopped\n		s.listener.Wait()\n", "		<-stopped\n		time.Sleep(2 * time.Second)\n"}}},
+			{"internal/program/run.go", "	startClose()\n	finished :=", "	finished :="},
+			{"internal/program/run.go", "		<-acceptDone\n		s.listener.Wait()\n", "		<-acceptDone\n		time.Sleep(2 * time.Second)\n"}}},
 		{"late-calls-taken", "after a SIGTERM's time connections stay open and calls on them are taken, up to SIGKILL", []Edit{
-			{"internal/program/run.go", "	shut()\n	ended :=", "	ended :="},
-			{"internal/program/run.go", "	s.listener.EndBy(exitBy.Add(lastAnswers))\n	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()\n", ""}}},
+			{"internal/program/run.go", "	startClose()\n	finished :=", "	finished :="},
+			{"internal/program/run.go", "	s.listener.EndBy(exitBy.Add(finalWritePeriod))\n	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()\n", ""}}},
 		one("slots-leak", "a client's slot is never given back", "internal/transport/listen.go",
 			"	<-l.slots\n", ""),
 	}
