--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -14,17 +14,18 @@
 	"burlpass/internal/orders"
 )
 
-// clusterMember is this process's part in a cluster.
+// clusterMember is this process's membership in a cluster.
 type clusterMember interface {
 	orders.Member
 	limits.Member
 	Close() error
 }
 
-// orderTimeout is for an order to be agreed on while the door's caller waits; the rest of a second is for the way back.
+// orderTimeout bounds how long an order may take to commit while the operator waits; the rest of operator.OrderTime is left
+// for the reply.
 const orderTimeout = operator.OrderTime - 100*time.Millisecond
 
-// startOrders makes the cluster's orders hold at the router until ctx is done. Without a cluster it does nothing.
+// startOrders applies the cluster's maintenance orders to the router until ctx is done. It does nothing without a cluster.
 func (s *Sidecar) startOrders(ctx context.Context, handler *adminHandler, start maintenance.Set) {
 	if s.member == nil {
 		return
@@ -40,8 +41,8 @@
 	go handler.orders.Run(ctx)
 }
 
-// ordersPath is the file of orders that are not agreed on yet: in the member's folder, or beside what is kept of maintenance.
-// Where neither is there the first save fails and is logged; the orders hold until the process ends.
+// ordersPath is the file of orders that are not committed yet, in the member's folder or else in the state directory. If
+// neither is set, the first save fails and is logged, and the orders last until the process exits.
 func (s *Sidecar) ordersPath() string {
 	folder := s.config.Cluster.Folder
 	if folder == "" {
@@ -50,7 +51,7 @@
 	return filepath.Join(folder, "burlpass-"+s.config.Name+".orders")
 }
 
-// orderViaCluster carries out an orderViaCluster through the cluster.
+// orderViaCluster submits an operator's order to the cluster.
 func (h *adminHandler) orderViaCluster(command operator.Command) (string, error) {
 	var lookupErr error
 	target := orders.Worker(command.ID)
@@ -67,7 +68,7 @@
 	return h.orders.Order(ctx, target, command.Verb == operator.Disable || command.Verb == operator.DisableHall), nil
 }
 
-// closeMember ends this process's part in the cluster.
+// closeMember closes the cluster member, if there is one.
 func (s *Sidecar) closeMember() {
 	if s.member == nil {
 		return
@@ -77,7 +78,7 @@
 	}
 }
 
-// openMember opens it where the configuration has one.
+// openMember opens the cluster member that the configuration describes, or returns nil if it has none.
 func openMember(config *Config, logger *slog.Logger) (clusterMember, error) {
 	if config.Cluster == nil {
 		return nil, nil
--- a/internal/program/cluster_config.go
+++ b/internal/program/cluster_config.go
@@ -12,32 +12,32 @@
 	"burlpass/internal/config"
 )
 
-// ClusterConfig is the [cluster] section: this process as one of several that keep one record. Only the TOML form has
-// one. Load, LoadFile and Check have looked at all of it, the folder as well.
+// ClusterConfig is the [cluster] section: it makes this process a member of a cluster that replicates one record. Only the
+// TOML form has it. Load, LoadFile and Check validate all of it, including the folder.
 type ClusterConfig struct {
-	// Name is the cluster's, the same at every member. It and every member's name have 1 to 64 characters of A-Z, a-z,
-	// 0-9, '.', '_' and '-'.
+	// Name is the cluster's name, the same at every member. It and every member's name consist of 1 to 64 characters of
+	// A-Z, a-z, 0-9, '.', '_' and '-'.
 	Name string `toml:"name" required:"true" doc:"name of the cluster, the same at every member: 1 to 64 letters, digits, . _ -"`
 	// Member is this process's name within the cluster.
 	Member string `toml:"member" required:"true" doc:"this process's name in the cluster, written like the cluster's"`
-	// Listen is the cluster's own address, IPv4:port; port 0 is a free one.
+	// Listen is the address for cluster traffic, IPv4:port; port 0 picks a free port.
 	Listen string `toml:"listen" required:"true" doc:"IPv4 address and port where the other members connect, as plain HTTP without sign-in: it needs a closed network"`
-	// Folder exists and can be written to; "" at an observer that keeps nothing.
+	// Folder is an existing, writable directory; "" for an observer that persists nothing.
 	Folder string `toml:"folder" doc:"folder for what outlives the process; it must exist and belong to this member alone. Observers may do without"`
-	// Voters are an odd number, 7 at most, each name and each address once.
+	// Voters is an odd number of members, at most 7, with unique names and addresses.
 	Voters []ClusterPeer `toml:"voters" required:"true" doc:"the members that vote, this one too where it does: 1, 3, 5 or 7"`
-	// Follow are observers, none of them this member, with names and addresses that no voter has.
+	// Follow lists observers other than this member, with names and addresses that no voter has.
 	Follow []ClusterPeer `toml:"follow" doc:"observers that this member may follow, beside the voters"`
 	RulesConfig
 }
 
-// ClusterPeer is a member and where this process reaches it.
+// ClusterPeer is a cluster member and the address at which this process reaches it.
 type ClusterPeer struct {
 	Name string `toml:"name" required:"true" doc:"its name"`
 	Addr string `toml:"addr" required:"true" doc:"IPv4 address and port where this process reaches it; that need not be where it listens"`
 }
 
-// Voting says whether this member is one of the voters; else it is an observer.
+// Voting reports whether this member is a voter; otherwise it is an observer.
 func (c *ClusterConfig) Voting() bool {
 	for _, v := range c.Voters {
 		if v.Name == c.Member {
@@ -51,11 +51,11 @@
 
 var memberNamePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// configuredAddress is an address that the sidecar has beside the cluster's, and its key.
+// configuredAddress is another address of the sidecar, with the key that sets it.
 type configuredAddress struct{ key, addr string }
 
-// check tells what is wrong with the section; others are the sidecar's further addresses. The folder is looked at
-// where that is asked for.
+// check reports every fault of the section to file. The others are the sidecar's other addresses; checkDir says whether to
+// check the folder.
 func (c *ClusterConfig) check(file *config.File, others []configuredAddress, checkDir bool) {
 	checker := memberChecker{file: file, cluster: c, roleByName: map[string]string{}, ownerByAddr: map[netip.AddrPort]string{}}
 	checker.checkName("cluster.name", c.Name)
@@ -63,7 +63,7 @@
 	if checker.listen = checker.checkAddr("cluster.listen", c.Listen); checker.listen.IsValid() {
 		for _, other := range others {
 			if conflictsWith(checker.listen, other) {
-				file.Fail("cluster.listen", "%s is the sidecar's %s already; an address of its own is expected", c.Listen, other.key)
+				file.Fail("cluster.listen", "%s is already the sidecar's %s address; use a separate address", c.Listen, other.key)
 			}
 		}
 	}
@@ -75,12 +75,12 @@
 		checker.checkPeer(fmt.Sprintf("cluster.follow[%d]", i), observer, "observer")
 	}
 	if n := len(c.Voters); (n%2 == 0 || n > maxVoters) && !file.Failed("cluster.voters") {
-		file.Fail("cluster.voters", "%d voters; 1, 3, 5 or 7 are expected", n)
+		file.Fail("cluster.voters", "%d voters; must be 1, 3, 5 or 7", n)
 	}
 	switch {
 	case file.Failed("cluster.folder"):
 	case c.Folder == "" && c.Voting():
-		file.Fail("cluster.folder", "missing; %q is a voter, which needs one", c.Member)
+		file.Fail("cluster.folder", "missing; voter %q requires a folder", c.Member)
 	case c.Folder != "" && checkDir:
 		if err := checkWritableDir(c.Folder); err != nil {
 			file.Fail("cluster.folder", "%v", err)
@@ -88,35 +88,35 @@
 	}
 }
 
-// memberChecker is what has been seen of a section while it is checked.
+// memberChecker checks the members of a section and remembers the names and addresses seen so far.
 type memberChecker struct {
 	file        *config.File
 	cluster     *ClusterConfig
 	listen      netip.AddrPort
-	roleByName  map[string]string // what has the name: voter or observer
+	roleByName  map[string]string // "voter" or "observer"
 	ownerByAddr map[netip.AddrPort]string
 }
 
-// checkName checks how a checkName is written; false where it is not to be looked at any further.
+// checkName checks the syntax of a name. It returns false if the name is missing or invalid, so that no further checks apply.
 func (m *memberChecker) checkName(key, name string) bool {
 	if m.file.Failed(key) {
 		return false
 	}
 	if !memberNamePattern.MatchString(name) {
-		m.file.Fail(key, "%q: 1 to 64 letters, digits, '.', '_' and '-' are expected", name)
+		m.file.Fail(key, "%q: must be 1 to 64 letters, digits, '.', '_' or '-'", name)
 		return false
 	}
 	return true
 }
 
-// checkAddr checks how an address is written; the result is not valid where it is not to be looked at any further.
+// checkAddr parses an address. The result is the invalid zero value if the address is missing or malformed.
 func (m *memberChecker) checkAddr(key, addr string) netip.AddrPort {
 	if m.file.Failed(key) {
 		return netip.AddrPort{}
 	}
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil || !parsed.Addr().Is4() {
-		m.file.Fail(key, "%q: an IPv4 address and a port are expected, such as 127.0.0.1:7101", addr)
+		m.file.Fail(key, "%q: must be an IPv4 address and port, such as 127.0.0.1:7101", addr)
 		return netip.AddrPort{}
 	}
 	return parsed
@@ -126,9 +126,9 @@
 	if nameKey := key + ".name"; m.checkName(nameKey, p.Name) {
 		switch knownRole, seen := m.roleByName[p.Name]; {
 		case knownRole == role:
-			m.file.Fail(nameKey, "%q stands twice", p.Name)
+			m.file.Fail(nameKey, "%q is listed twice", p.Name)
 		case seen:
-			m.file.Fail(nameKey, "%q is a %s; an observer is expected", p.Name, knownRole)
+			m.file.Fail(nameKey, "%q is a %s, not an observer", p.Name, knownRole)
 		case role == "observer" && p.Name == m.cluster.Member:
 			m.file.Fail(nameKey, "%q is this member itself", p.Name)
 		default:
@@ -140,11 +140,11 @@
 	switch owner := m.ownerByAddr[parsed]; {
 	case !parsed.IsValid():
 	case parsed.Port() == 0 || parsed.Addr().IsUnspecified():
-		m.file.Fail(addrKey, "%s is no address that can be reached", p.Addr)
+		m.file.Fail(addrKey, "%s is not a reachable address", p.Addr)
 	case owner != "":
-		m.file.Fail(addrKey, "%s is the address of %q already", p.Addr, owner)
+		m.file.Fail(addrKey, "%s is already the address of %q", p.Addr, owner)
 	case parsed == m.listen && p.Name != m.cluster.Member && !m.file.Failed("cluster.member"):
-		m.file.Fail(addrKey, "%s is where this member itself listens", p.Addr)
+		m.file.Fail(addrKey, "%s is this member's own listen address", p.Addr)
 	default:
 		m.ownerByAddr[parsed] = cmp.Or(p.Name, key)
 	}
@@ -165,11 +165,11 @@
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return fmt.Errorf("%q does not exist; a folder that belongs to this member alone is expected", path)
+		return fmt.Errorf("%q does not exist; a folder that only this member uses is required", path)
 	case err != nil:
 		return err
 	case !info.IsDir():
-		return fmt.Errorf("%q is no folder", path)
+		return fmt.Errorf("%q is not a folder", path)
 	}
 	probeFile, err := os.CreateTemp(path, ".burlpass-trial-*")
 	if err != nil {
@@ -177,7 +177,7 @@
 		if errors.As(err, &pathErr) {
 			err = pathErr.Err
 		}
-		return fmt.Errorf("%q cannot be written to: %w", path, err)
+		return fmt.Errorf("%q is not writable: %w", path, err)
 	}
 	return errors.Join(probeFile.Close(), os.Remove(probeFile.Name()))
 }
--- a/internal/program/cluster_config_test.go
+++ b/internal/program/cluster_config_test.go
@@ -10,7 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The five lines before a [cluster] section in these tests; listen is 127.0.0.1:3000, registry 127.0.0.1:8500.
+// baseTOML is the five lines before a [cluster] section in these tests; by default listen is 127.0.0.1:3000 and registry is
+// 127.0.0.1:8500.
 const baseTOML = "operator = \"127.0.0.1:3001\"\nzone = \"a\"\nzones = [\"a\"]\n" +
 	"class = [{ name = \"p\", effect = \"safe\", aim = \"1s\", deadline = \"1s\" }]\n\n"
 
@@ -23,7 +24,7 @@
 	return path
 }
 
-// section writes a [cluster] section of its eight lines, 6 to 12 of the file, with one part replaced.
+// clusterSection returns a [cluster] section, lines 6 to 12 of the file, with one part replaced.
 func clusterSection(folder, from, to string) string {
 	return strings.Replace(fmt.Sprintf(`[cluster]
 name = "athens"
@@ -48,7 +49,7 @@
 		t.Errorf("voting %v (-want +got)\n%s", c.Cluster.Voting(), diff)
 	}
 	if left, err := os.ReadDir(folder); err != nil || len(left) > 0 {
-		t.Errorf("the trial left %v, %v", left, err)
+		t.Errorf("checking the folder left %v, %v", left, err)
 	}
 	c, err = LoadFile(writeClusterFile(t, clusterSection("", "\"v1\"\nlisten = \"127.0.0.1:7101\"", "\"o2\"\nlisten = \"127.0.0.1:7112\"")))
 	if err != nil || c.Cluster.Voting() || c.Cluster.Folder != "" {
@@ -63,14 +64,14 @@
 	}
 }
 
-// Every fault of the section is told in one line, with its place.
+// Every fault of the section is reported on one line, with its position.
 func TestClusterSectionFaults(t *testing.T) {
 	folder := t.TempDir()
 	plainFile := filepath.Join(folder, "plain")
 	if err := os.WriteFile(plainFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	deepDir := folder // so deep that no further name fits, which also root cannot write past
+	deepDir := folder // so deep that no further name fits, so not even root can create a file in it
 	for n := 200; n > 0; {
 		if next := filepath.Join(deepDir, strings.Repeat("d", n)); os.Mkdir(next, 0o700) == nil {
 			deepDir = next
@@ -94,42 +95,42 @@
 		"unknown":        {"follow", "folow", []string{"12:1: cluster.folow: unknown key; one of name, member, listen, folder, voters, follow, rules, island, hall, caller, version, version_segment, under_way is expected"}},
 		"unknown inside": {`name="v2",`, `name="v2", port=1,`, []string{"11:60: cluster.voters[1].port: unknown key; one of name, addr is expected"}},
 		"name": {`"athens"`, `"a b"`,
-			[]string{`7:1: cluster.name: "a b": 1 to 64 letters, digits, '.', '_' and '-' are expected`}},
-		"empty name": {`"athens"`, `""`, []string{`7:1: cluster.name: "": 1 to 64`}},
-		"long name":  {`"athens"`, `"` + long + `"`, []string{`7:1: cluster.name: "` + long + `": 1 to 64`}},
-		"two lines":  {`"athens"`, `"a\nb"`, []string{`7:1: cluster.name: "a\nb": 1 to 64`}},
+			[]string{`7:1: cluster.name: "a b": must be 1 to 64 letters, digits, '.', '_' or '-'`}},
+		"empty name": {`"athens"`, `""`, []string{`7:1: cluster.name: "": must be 1 to 64`}},
+		"long name":  {`"athens"`, `"` + long + `"`, []string{`7:1: cluster.name: "` + long + `": must be 1 to 64`}},
+		"two lines":  {`"athens"`, `"a\nb"`, []string{`7:1: cluster.name: "a\nb": must be 1 to 64`}},
 		"type":       {`"athens"`, `4`, []string{`7:1: cluster.name: 4 is no text in quotes`}},
-		"member":     {`"v1"`, `"v/1"`, []string{`8:1: cluster.member: "v/1": 1 to 64`}},
+		"member":     {`"v1"`, `"v/1"`, []string{`8:1: cluster.member: "v/1": must be 1 to 64`}},
 		"all at once": {clusterSection(folder, "", ""), "[cluster]\nname = \"\"\nmember = \"o1\"\nlisten = \"here\"\n" +
 			"[[cluster.voters]]\nname = \"v 1\"\naddr = \"::1\"\n[[cluster.voters]]\naddr = \"127.0.0.1:2\"\n",
 			[]string{`7:1: cluster.name: ""`, `9:1: cluster.listen: "here"`, `10:11: cluster.voters: 2 voters`,
 				`11:1: cluster.voters[0].name: "v 1"`, `12:1: cluster.voters[0].addr: "::1"`, "13:11: cluster.voters[1].name: missing"}},
 		"own address": {`"127.0.0.1:7101"`, `"localhost:7101"`,
-			[]string{`9:1: cluster.listen: "localhost:7101": an IPv4 address and a port are expected, such as 127.0.0.1:7101`}},
-		"clients' address":   {`"127.0.0.1:7101"`, `"127.0.0.1:3000"`, []string{"9:1: cluster.listen: 127.0.0.1:3000 is the sidecar's listen already; an address of its own is expected"}},
-		"operators' address": {`"127.0.0.1:7101"`, `"0.0.0.0:3001"`, []string{"9:1: cluster.listen: 0.0.0.0:3001 is the sidecar's operator already"}},
-		"registry's address": {`"127.0.0.1:7101"`, `"127.0.0.1:8500"`, []string{"9:1: cluster.listen: 127.0.0.1:8500 is the sidecar's registry already"}},
+			[]string{`9:1: cluster.listen: "localhost:7101": must be an IPv4 address and port, such as 127.0.0.1:7101`}},
+		"clients' address":   {`"127.0.0.1:7101"`, `"127.0.0.1:3000"`, []string{"9:1: cluster.listen: 127.0.0.1:3000 is already the sidecar's listen address; use a separate address"}},
+		"operators' address": {`"127.0.0.1:7101"`, `"0.0.0.0:3001"`, []string{"9:1: cluster.listen: 0.0.0.0:3001 is already the sidecar's operator address"}},
+		"registry's address": {`"127.0.0.1:7101"`, `"127.0.0.1:8500"`, []string{"9:1: cluster.listen: 127.0.0.1:8500 is already the sidecar's registry address"}},
 		"another's address": {`listen = "127.0.0.1:7101"`, `listen = "127.0.0.1:7102"`,
-			[]string{"11:60: cluster.voters[1].addr: 127.0.0.1:7102 is where this member itself listens"}},
-		"voter's address": {`"127.0.0.1:7103"`, `"127.0.0.1"`, []string{`11:96: cluster.voters[2].addr: "127.0.0.1": an IPv4 address and a port`}},
-		"port 0":          {`"127.0.0.1:7103"`, `"127.0.0.1:0"`, []string{`11:96: cluster.voters[2].addr: 127.0.0.1:0 is no address that can be reached`}},
-		"every address":   {`"127.0.0.1:7103"`, `"0.0.0.0:7103"`, []string{`11:96: cluster.voters[2].addr: 0.0.0.0:7103 is no address that can be reached`}},
-		"voter twice":     {`"v3"`, `"v2"`, []string{`11:85: cluster.voters[2].name: "v2" stands twice`}},
-		"address twice":   {`"127.0.0.1:7103"`, `"127.0.0.1:7102"`, []string{`11:96: cluster.voters[2].addr: 127.0.0.1:7102 is the address of "v2" already`}},
+			[]string{"11:60: cluster.voters[1].addr: 127.0.0.1:7102 is this member's own listen address"}},
+		"voter's address": {`"127.0.0.1:7103"`, `"127.0.0.1"`, []string{`11:96: cluster.voters[2].addr: "127.0.0.1": must be an IPv4 address and port`}},
+		"port 0":          {`"127.0.0.1:7103"`, `"127.0.0.1:0"`, []string{`11:96: cluster.voters[2].addr: 127.0.0.1:0 is not a reachable address`}},
+		"every address":   {`"127.0.0.1:7103"`, `"0.0.0.0:7103"`, []string{`11:96: cluster.voters[2].addr: 0.0.0.0:7103 is not a reachable address`}},
+		"voter twice":     {`"v3"`, `"v2"`, []string{`11:85: cluster.voters[2].name: "v2" is listed twice`}},
+		"address twice":   {`"127.0.0.1:7103"`, `"127.0.0.1:7102"`, []string{`11:96: cluster.voters[2].addr: 127.0.0.1:7102 is already the address of "v2"`}},
 		"no address":      {`, addr="127.0.0.1:7103"`, ``, []string{`11:84: cluster.voters[2].addr: missing`}},
-		"no voters":       {clusterSection(folder, "", "")[strings.Index(clusterSection(folder, "", ""), "voters"):], "voters = []", []string{"11:1: cluster.voters: 0 voters; 1, 3, 5 or 7 are expected"}},
-		"two voters":      {`, {name="v3", addr="127.0.0.1:7103"}`, ``, []string{"11:1: cluster.voters: 2 voters; 1, 3, 5 or 7 are expected"}},
+		"no voters":       {clusterSection(folder, "", "")[strings.Index(clusterSection(folder, "", ""), "voters"):], "voters = []", []string{"11:1: cluster.voters: 0 voters; must be 1, 3, 5 or 7"}},
+		"two voters":      {`, {name="v3", addr="127.0.0.1:7103"}`, ``, []string{"11:1: cluster.voters: 2 voters; must be 1, 3, 5 or 7"}},
 		"nine voters": {`{name="v3"`, `{name="v4", addr="127.0.0.1:1"}, {name="v5", addr="127.0.0.1:2"}, {name="v6", addr="127.0.0.1:3"}, ` +
 			`{name="v7", addr="127.0.0.1:4"}, {name="v8", addr="127.0.0.1:5"}, {name="v9", addr="127.0.0.1:6"}, {name="v3"`,
-			[]string{"11:1: cluster.voters: 9 voters; 1, 3, 5 or 7 are expected"}},
-		"follows itself":    {`name="o1"`, `name="v1"`, []string{`12:13: cluster.follow[0].name: "v1" is a voter; an observer is expected`}},
-		"observes itself":   {`"v1"`, `"o1"`, []string{`11:24: cluster.voters[0].addr: 127.0.0.1:7101 is where this`, `12:13: cluster.follow[0].name: "o1" is this member itself`}},
-		"follows a voter":   {`127.0.0.1:7111`, `127.0.0.1:7103`, []string{`12:24: cluster.follow[0].addr: 127.0.0.1:7103 is the address of "v3" already`}},
-		"observer twice":    {`{name="o1"`, `{name="o1", addr="127.0.0.1:1"}, {name="o1"`, []string{`12:46: cluster.follow[1].name: "o1" stands twice`}},
-		"no folder":         {fmt.Sprintf("folder = %q", folder), "", []string{`6:2: cluster.folder: missing; "v1" is a voter, which needs one`}},
-		"folder missing":    {folder, folder + "/none", []string{`10:1: cluster.folder: "` + folder + `/none" does not exist; a folder that belongs`}},
-		"folder of no kind": {folder, plainFile, []string{`10:1: cluster.folder: "` + plainFile + `" is no folder`}},
-		"folder read-only":  {folder, deepDir, []string{`10:1: cluster.folder: "` + deepDir + `" cannot be written to: `}},
+			[]string{"11:1: cluster.voters: 9 voters; must be 1, 3, 5 or 7"}},
+		"follows itself":    {`name="o1"`, `name="v1"`, []string{`12:13: cluster.follow[0].name: "v1" is a voter, not an observer`}},
+		"observes itself":   {`"v1"`, `"o1"`, []string{`11:24: cluster.voters[0].addr: 127.0.0.1:7101 is this member's own listen`, `12:13: cluster.follow[0].name: "o1" is this member itself`}},
+		"follows a voter":   {`127.0.0.1:7111`, `127.0.0.1:7103`, []string{`12:24: cluster.follow[0].addr: 127.0.0.1:7103 is already the address of "v3"`}},
+		"observer twice":    {`{name="o1"`, `{name="o1", addr="127.0.0.1:1"}, {name="o1"`, []string{`12:46: cluster.follow[1].name: "o1" is listed twice`}},
+		"no folder":         {fmt.Sprintf("folder = %q", folder), "", []string{`6:2: cluster.folder: missing; voter "v1" requires a folder`}},
+		"folder missing":    {folder, folder + "/none", []string{`10:1: cluster.folder: "` + folder + `/none" does not exist; a folder that only`}},
+		"folder of no kind": {folder, plainFile, []string{`10:1: cluster.folder: "` + plainFile + `" is not a folder`}},
+		"folder read-only":  {folder, deepDir, []string{`10:1: cluster.folder: "` + deepDir + `" is not writable: `}},
 	} {
 		path := writeClusterFile(t, clusterSection(folder, test.from, test.to))
 		faults, err := Check(path)
@@ -145,20 +146,20 @@
 			t.Errorf("%s: more faults: %v", name, faults[len(test.want):])
 		}
 		if _, err = LoadFile(path); (err == nil) != (len(test.want) == 0) {
-			t.Errorf("%s: a start says %v", name, err)
+			t.Errorf("%s: LoadFile: %v", name, err)
 		}
 	}
 }
 
-// The variables' addresses count in place of the file's.
+// Addresses from environment variables are checked in place of the file's.
 func TestClusterAddressesFromEnvironment(t *testing.T) {
 	folder := t.TempDir()
 	path := writeClusterFile(t, clusterSection(folder, `listen = "127.0.0.1:7101"`, `listen = "127.0.0.1:3000"`))
 	env := map[string]string{"EDGE_NAME": "n0", "EDGE_LISTEN": "127.0.0.1:4000", "EDGE_DISCOVERY": "127.0.0.1:1",
 		"EDGE_OPERATOR": "127.0.0.1:4001", "EDGE_CONFIG": path}
 	for _, test := range []struct{ key, value, want string }{
-		{"EDGE_NAME", "n0", ""}, {"EDGE_LISTEN", "127.0.0.1:3000", "sidecar's listen"}, {"EDGE_OPERATOR", "127.0.0.1:3000", "sidecar's operator"},
-		{"EDGE_DISCOVERY", "127.0.0.1:3000", "sidecar's registry"},
+		{"EDGE_NAME", "n0", ""}, {"EDGE_LISTEN", "127.0.0.1:3000", "sidecar's listen address"}, {"EDGE_OPERATOR", "127.0.0.1:3000", "sidecar's operator address"},
+		{"EDGE_DISCOVERY", "127.0.0.1:3000", "sidecar's registry address"},
 	} {
 		before := env[test.key]
 		env[test.key] = test.value
@@ -170,7 +171,7 @@
 	}
 }
 
-// A reload names a changed section as one that takes a new start, and looks at no folder, since that is in use.
+// A reload reports a changed section as needing a restart, and does not check the folder, which is in use.
 func TestClusterReload(t *testing.T) {
 	folder := t.TempDir()
 	for _, test := range []struct{ from, to, want string }{
@@ -188,7 +189,7 @@
 		if err != nil {
 			t.Errorf("%q: %v", test.to, err)
 		} else if got := strings.Join(c.ChangesNeedingRestart(next), ","); got != test.want {
-			t.Errorf("%q: needs a new start for %q, want %q", test.to, got, test.want)
+			t.Errorf("%q: needs a restart for %q, want %q", test.to, got, test.want)
 		}
 	}
 }
@@ -203,7 +204,7 @@
 		}
 		k := c.Cluster
 		if len(k.Voters)%2 == 0 || len(k.Voters) > maxVoters || !memberNamePattern.MatchString(k.Name+k.Member) && len(k.Name+k.Member) <= 64 || k.Voting() && k.Folder == "" {
-			t.Errorf("taken: %+v of %s", k, text)
+			t.Errorf("accepted %+v of %s", k, text)
 		}
 	})
 }
--- a/internal/program/cluster_open.go
+++ b/internal/program/cluster_open.go
@@ -12,9 +12,9 @@
 	"burlpass/internal/enforcement"
 )
 
-// openCluster takes this process's part in the cluster that the configuration names.
+// openCluster opens this process's member of the configured cluster.
 func openCluster(c *ClusterConfig, logger *slog.Logger) (clusterMember, error) {
-	signal.Ignore(syscall.SIGXFSZ) // a disk that takes no more is an error of the write; the signal would end the program
+	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit then fails the write instead of killing the process
 	m, err := cluster.Open(context.Background(), cluster.Config{Name: c.Name, Member: c.Member, Listen: c.Listen, Folder: c.Folder,
 		Voters: clusterPeers(c.Voters), Follow: clusterPeers(c.Follow), Rules: c.Rules, Log: logger})
 	if err != nil {
@@ -24,7 +24,7 @@
 	return m, nil
 }
 
-// registerRuleMetrics puts what rules refuse among the figures at the cluster's address.
+// registerRuleMetrics adds the counters of calls refused by rules to the metrics served at the cluster's address.
 func registerRuleMetrics(m clusterMember, enforcer *enforcement.Enforcer) {
 	if joined, ok := m.(*cluster.Member); ok {
 		joined.Figures().MustRegister(enforcer)
--- a/internal/program/cluster_wasip1.go
+++ b/internal/program/cluster_wasip1.go
@@ -7,9 +7,9 @@
 	"burlpass/internal/enforcement"
 )
 
-// openCluster: the simulation's guest has no disk, and its network is the sidecar's alone.
+// openCluster always fails: the simulation's guest has no disk, and its network carries only the sidecar's traffic.
 func openCluster(*ClusterConfig, *slog.Logger) (clusterMember, error) {
-	return nil, errors.New("cluster: not in a simulation")
+	return nil, errors.New("cluster: not supported in the simulation")
 }
 
 func registerRuleMetrics(clusterMember, *enforcement.Enforcer) {}
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -1,4 +1,6 @@
-// Package program puts a sidecar together: its configuration, its limits, its signals and its log.
+// Package program assembles a sidecar: its configuration, resource limits, signal handling and log.
+//
+// In this package a worker is a backend, a call is a client's request, and the registry is the service discovery.
 package program
 
 import (
@@ -19,44 +21,44 @@
 	"burlpass/internal/routing"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration of a sidecar at its start.
 type Config struct {
-	Path     string // of the file
+	Path     string // of the configuration file
 	Name     string
 	Listen   string
 	Registry string
 	Seed     uint64
-	Operator string // host and port of the operators' door; none where empty
-	StateDir string // where what outlives the process is kept, as $TMPDIR is kept over an upgrade; none where empty
-	Inherit  bool   // the platform holds the clients' listening socket and hands it over as AcceptFD; else Listen is bound
+	Operator string // host and port of the admin listener; "" for none
+	StateDir string // for state that outlives the process: $TMPDIR, which survives an upgrade; "" for none
+	Inherit  bool   // take over the platform's listening socket AcceptFD instead of binding Listen
 	AcceptFD int
 	Limits   Limits
 	Known    *protocol.List
 	Decide   decide.Config
 	Names    routing.Names
-	Cluster  *ClusterConfig // nil: this sidecar is by itself
+	Cluster  *ClusterConfig // nil: not a cluster member
 
-	// Trace is shown every event and what the module chose, under the router's lock; nil for none.
+	// Trace, if set, is called under the router's lock with every event and the actions that the decision module chose.
 	Trace func(now time.Duration, e decide.Event, actions []decide.Action, name func(decide.ServerID) string)
 
-	readSource func() ([]byte, error) // the file's text; nil: read Path
-	isReload   bool                   // of a reload: the cluster's folder is in use, and is not looked at
+	readSource func() ([]byte, error) // returns the file's text; nil reads Path
+	isReload   bool                   // skips the check of the cluster's folder, which is in use then
 }
 
-// Limits is what the platform grants one sidecar.
+// Limits are the resources that the platform grants one sidecar.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads the environment and the file that it names. Each error names what is at fault.
+// Load reads the environment variables and the file that EDGE_CONFIG names. Each error names the variable or key at fault.
 func Load(getenv func(string) string) (*Config, error) {
 	c := &Config{}
 	if fd := getenv("EDGE_ACCEPT_FD"); fd != "" {
 		n, err := strconv.Atoi(fd)
 		if err != nil || n < 0 {
-			return nil, fmt.Errorf("EDGE_ACCEPT_FD: %q is not a descriptor: a number of 0 or more is expected", fd)
+			return nil, fmt.Errorf("EDGE_ACCEPT_FD: %q is not a file descriptor: must be 0 or greater", fd)
 		}
 		c.Inherit, c.AcceptFD = true, n
 	}
@@ -87,8 +89,8 @@
 	return c, nil
 }
 
-// Parse is Load for a sidecar that is told everything by its caller: read gives the text of the platform's JSON, also
-// at each reload.
+// Parse builds a configuration from its arguments instead of the environment. It calls read for the text of the platform's
+// JSON, now and at each reload.
 func Parse(name, listen, registry string, read func() ([]byte, error)) (*Config, error) {
 	c := &Config{Path: name, Name: name, Listen: listen, Registry: registry, readSource: read}
 	if _, err := c.read(); err != nil {
@@ -97,7 +99,7 @@
 	return c, nil
 }
 
-// LoadFile reads a file that says all by itself: name, listen and registry as well.
+// LoadFile reads a self-contained file, which also sets name, listen and registry.
 func LoadFile(path string) (*Config, error) {
 	c := &Config{Path: path}
 	fromFile, err := c.read()
@@ -122,13 +124,13 @@
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil || host == "" {
-		return fmt.Errorf("%q is not a host and a port", addr)
+		return fmt.Errorf("%q is not a valid host:port", addr)
 	}
 	return nil
 }
 
-// Reload reads the file again, whole, and returns the configuration that it gives now. The registry is the
-// file's; what belongs to the process stays.
+// Reload reads the whole file again and returns the new configuration. The registry comes from the file; name, addresses
+// and other properties of the process stay.
 func (c *Config) Reload() (*Config, error) {
 	next := &Config{Path: c.Path, Name: c.Name, Listen: c.Listen, Operator: c.Operator, StateDir: c.StateDir, Inherit: c.Inherit, AcceptFD: c.AcceptFD,
 		readSource: c.readSource, isReload: true}
@@ -143,7 +145,7 @@
 	return next, nil
 }
 
-// ChangesNeedingRestart names the parts in which another configuration differs and that take a new start to change.
+// ChangesNeedingRestart names the sections in which next differs from c and that take effect only after a restart.
 func (c *Config) ChangesNeedingRestart(next *Config) (parts []string) {
 	if c.Limits != next.Limits {
 		parts = append(parts, "limits")
@@ -157,7 +159,7 @@
 	return parts
 }
 
-// Check reads a configuration file and returns all of its faults. The error says that it could not be read at all.
+// Check reads a configuration file and returns all of its faults. The error is set if the file could not be read at all.
 func Check(path string) (config.Faults, error) {
 	_, err := (&Config{Path: path}).read()
 	var faults config.Faults
@@ -167,10 +169,10 @@
 	return nil, err
 }
 
-// own is what a file says of the sidecar's place; the environment overrides it.
+// instanceSettings are a file's name and addresses of the sidecar; the environment overrides them.
 type instanceSettings struct{ name, listen, registry, operator string }
 
-// read takes in the file, TOML by its ending, else the platform's JSON.
+// read parses the file: as TOML if its extension is .toml, otherwise as the platform's JSON.
 func (c *Config) read() (instanceSettings, error) {
 	source := c.readSource
 	if source == nil {
@@ -186,48 +188,48 @@
 	return c.parseJSON(text)
 }
 
-// settingKeys are the names under which a form of file has what check looks at.
+// settingKeys are the keys of the checked settings in one of the two file formats.
 type settingKeys struct{ zone, classes, connectTimeout, maxAttempts, fallMultiple, startCapacity, window, memory string }
 
-// check looks for what no single value shows. Both forms of file go through it.
+// check validates the settings that both file formats share, including rules that span several values.
 func (c *Config) check(file *config.File, keys settingKeys) {
 	if !(c.Limits.Cores > 0) {
-		file.Fail("limits.cores", "%v: more than 0 is expected", c.Limits.Cores)
+		file.Fail("limits.cores", "%v: must be greater than 0", c.Limits.Cores)
 	}
 	if c.Limits.MemoryMB <= 0 {
-		file.Fail(keys.memory, "more than 0 is expected")
+		file.Fail(keys.memory, "must be greater than 0")
 	}
 	if c.Limits.Sockets <= 0 {
-		file.Fail("limits.sockets", "more than 0 is expected")
+		file.Fail("limits.sockets", "must be greater than 0")
 	}
 	settings := &c.Decide
 	if settings.ConnectTime <= 0 {
-		file.Fail(keys.connectTimeout, "more than 0 is expected: no connection would ever come up in time")
+		file.Fail(keys.connectTimeout, "must be greater than 0, otherwise every connection attempt times out")
 	}
 	if settings.Limits.MaxAttempts < 1 {
-		file.Fail(keys.maxAttempts, "at least 1 is expected")
+		file.Fail(keys.maxAttempts, "must be at least 1")
 	}
 	if settings.Safety.FallMultiple < 1 {
-		file.Fail(keys.fallMultiple, "%v: at least 1 is expected", settings.Safety.FallMultiple)
+		file.Fail(keys.fallMultiple, "%v: must be at least 1", settings.Safety.FallMultiple)
 	}
 	if settings.Safety.StartShare <= 0 || settings.Safety.StartShare > 1 {
-		file.Fail(keys.startCapacity, "%v: above 0 and up to 1 is expected", settings.Safety.StartShare)
+		file.Fail(keys.startCapacity, "%v: must be greater than 0 and at most 1", settings.Safety.StartShare)
 	}
 	if len(settings.Classes) == 0 {
-		file.Fail(keys.classes, "at least one class is expected")
+		file.Fail(keys.classes, "at least one class is required")
 	}
 	if len(c.Names.Zones) > 0 && (settings.Zone < 0 || settings.Zone >= len(c.Names.Zones)) {
-		file.Fail(keys.zone, "%d is no place in the list of %d", settings.Zone, len(c.Names.Zones))
+		file.Fail(keys.zone, "%d is not an index into the list of %d zones", settings.Zone, len(c.Names.Zones))
 	}
 	seen := map[string]bool{}
 	for i, name := range c.Names.Classes {
 		key := fmt.Sprintf("%s[%d]", keys.classes, i)
 		if name == "" || strings.ContainsAny(name, "/? \t\r\n") || seen[name] {
-			file.Fail(key+".name", "%q: a name of its own that can be part of a path is expected", name)
+			file.Fail(key+".name", "%q: must be a unique name that can be a path segment", name)
 		}
 		seen[name] = true
 		if i < len(settings.Classes) && settings.Classes[i].Effect == decide.Keyed && settings.Classes[i].Window <= 0 {
-			file.Fail(key+"."+keys.window, "a keyed class needs a window above 0")
+			file.Fail(key+"."+keys.window, "a keyed class requires a window greater than 0")
 		}
 	}
 }
--- a/internal/program/config_json.go
+++ b/internal/program/config_json.go
@@ -16,7 +16,7 @@
 	"burlpass/wire"
 )
 
-// parseJSON reads the platform's JSON. The error holds every fault.
+// parseJSON reads the platform's JSON. The error lists every fault.
 func (c *Config) parseJSON(text []byte) (instanceSettings, error) {
 	var document struct {
 		Name      string          `json:"name"`
@@ -34,7 +34,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(document.Seed, 16, 64); err != nil {
-		faults.Fail("seed", "%q: a hexadecimal number of 64 bits is expected", document.Seed)
+		faults.Fail("seed", "%q: must be a 64-bit hexadecimal number", document.Seed)
 	}
 	c.Limits = document.Limits
 	if c.Known, err = protocol.ParseList(document.Known); err != nil {
@@ -68,12 +68,12 @@
 	return instanceSettings{document.Name, document.Listen, document.Discovery, document.Operator}, faults.Err()
 }
 
-// bracketIndices writes classes.0.name as classes[0].name.
+// bracketIndices rewrites classes.0.name as classes[0].name.
 func bracketIndices(key string) string { return indexSegment.ReplaceAllString(key, "[$1]") }
 
 var indexSegment = regexp.MustCompile(`\.(\d+)`)
 
-// flattenSettings writes nested JSON as the path=value lines that the module's settings parser reads.
+// flattenSettings converts nested JSON to the path=value lines that wire.CheckSettings parses.
 func flattenSettings(text []byte) ([]byte, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -100,7 +100,7 @@
 	}
 }
 
-// flattenList writes a list of plain values as one line, a list of objects as its length and its items.
+// flattenList writes a list of scalars as one line, and a list of objects as its length and its elements.
 func flattenList(out io.Writer, path string, list []any) {
 	values, objectCount := []string{}, 0
 	for i, item := range list {
@@ -118,7 +118,7 @@
 	}
 }
 
-// formatValue writes one value; what would end it or its line is replaced.
+// formatValue formats a scalar and replaces separators and line breaks with underscores.
 func formatValue(v any) string {
 	if v == nil {
 		return ""
--- a/internal/program/config_toml.go
+++ b/internal/program/config_toml.go
@@ -14,7 +14,7 @@
 	"burlpass/internal/routing"
 )
 
-// tomlFile is a sidecar's configuration in TOML; docs/configuration.md is its reference.
+// tomlFile is a sidecar's configuration file in TOML; docs/configuration.md is its reference.
 type tomlFile struct {
 	Name     string   `toml:"name" default:"sidecar" doc:"the sidecar's name, the same after a restart"`
 	Listen   string   `toml:"listen" default:"127.0.0.1:3000" doc:"host and port where clients connect"`
@@ -105,10 +105,10 @@
 	Weight  float64 `toml:"weight" default:"1" range:"0..1000000" doc:"its size against others"`
 }
 
-// Keys lists the keys of the TOML form.
+// Keys lists the keys of the TOML format.
 func Keys() []config.Key { return config.Keys(tomlFile{}) }
 
-// parseTOML reads the form of new installations. The error holds every fault.
+// parseTOML reads the TOML format, which new installations use. The error lists every fault.
 func (c *Config) parseTOML(text []byte) (instanceSettings, error) {
 	var file tomlFile
 	faults := config.Decode(cmp.Or(c.Path, "configuration"), text, &file)
@@ -119,14 +119,14 @@
 	if file.Seed != "" {
 		var err error
 		if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-			faults.Fail("seed", "%q: a hexadecimal number of 64 bits is expected", file.Seed)
+			faults.Fail("seed", "%q: must be a 64-bit hexadecimal number", file.Seed)
 		}
 	}
 	c.Limits = Limits{file.Limits.Cores, int(file.Limits.Memory >> 20), file.Limits.Sockets}
 	c.Names = routing.Names{Zones: file.Zones, Kinds: file.Kinds}
 	zone := slices.Index(file.Zones, file.Zone)
 	if zone < 0 && file.Zone != "" {
-		faults.Fail("zone", "%q is none of zones", file.Zone)
+		faults.Fail("zone", "%q is not listed in zones", file.Zone)
 	}
 	for _, address := range [][2]string{{"listen", file.Listen}, {"registry", file.Registry}, {"operator", file.Operator}} {
 		if address[0] == "operator" && address[1] == "" {
@@ -137,7 +137,7 @@
 		}
 	}
 	if file.Ordinal >= file.Sidecars && file.Ordinal > 0 {
-		faults.Fail("ordinal", "%d: less than the number of sidecars is expected", file.Ordinal)
+		faults.Fail("ordinal", "%d: must be less than the number of sidecars", file.Ordinal)
 	}
 	c.Decide = decide.Config{
 		Zone: max(zone, 0), Ordinal: file.Ordinal, Balancers: file.Sidecars, OverShareWorth: 1, Subscribe: file.Lists != "pushed",
@@ -157,7 +157,7 @@
 			Effect: decide.Effect(max(0, slices.Index([]string{"safe", "keyed", "unsafe"}, class.Effect))),
 			Group:  decide.Group(max(0, slices.Index([]string{"all", "zone", "cell"}, class.Group))), Window: class.Window})
 		if class.Aim > class.Deadline {
-			faults.Fail(fmt.Sprintf("class[%d].aim", i), "%v is later than the deadline %v", class.Aim, class.Deadline)
+			faults.Fail(fmt.Sprintf("class[%d].aim", i), "%v is longer than the deadline %v", class.Aim, class.Deadline)
 		}
 	}
 	c.Known = &protocol.List{Reset: true}
@@ -167,13 +167,13 @@
 			faults.Fail(key+".address", "%v", err)
 		}
 		if !slices.Contains(file.Zones, worker.Zone) && worker.Zone != "" {
-			faults.Fail(key+".zone", "%q is none of zones", worker.Zone)
+			faults.Fail(key+".zone", "%q is not listed in zones", worker.Zone)
 		}
 		if !slices.Contains(file.Kinds, worker.Kind) {
-			faults.Fail(key+".kind", "%q is none of machine_kinds", worker.Kind)
+			faults.Fail(key+".kind", "%q is not listed in machine_kinds", worker.Kind)
 		}
 		if slices.ContainsFunc(file.Workers[:i], func(other fileWorker) bool { return other.ID == worker.ID }) {
-			faults.Fail(key+".id", "%q stands twice", worker.ID)
+			faults.Fail(key+".id", "%q is listed twice", worker.ID)
 		}
 		c.Known.Instances = append(c.Known.Instances, protocol.Instance{ID: worker.ID, Addr: worker.Address, Zone: worker.Zone, Kind: worker.Kind, Cell: worker.Cell,
 			Lifecycle: protocol.Up, Weight: worker.Weight})
@@ -182,7 +182,7 @@
 		c.Cluster.check(faults, []configuredAddress{{"listen", cmp.Or(c.Listen, file.Listen)}, {"operator", cmp.Or(c.Operator, file.Operator)},
 			{"registry", cmp.Or(c.Registry, file.Registry)}}, !c.isReload)
 	}
-	if faults.Err() == nil { // else the values may be missing, and each fault is told already
+	if faults.Err() == nil { // otherwise values may be missing, and their faults are already reported
 		c.check(faults, settingKeys{zone: "zone", classes: "class", connectTimeout: "connections.connect_timeout", maxAttempts: "delegations.max_attempts", fallMultiple: "rules.fall_multiple",
 			startCapacity: "rules.start_capacity", window: "window", memory: "limits.memory"})
 	}
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -16,20 +16,22 @@
 	"burlpass/internal/routing"
 )
 
-// adminHandler carries out the door's commands on a running sidecar.
+// adminHandler executes the admin listener's commands on a running sidecar.
 type adminHandler struct {
 	s        *Sidecar
 	router   *routing.Router
-	stopping *atomic.Bool // SIGTERM has come: the process is not to be counted on any more
+	stopping *atomic.Bool // SIGTERM has arrived, so the process is no longer ready
 	stats    *protocol.Figures
 
-	orders *orders.Keeper // the cluster's orders; nil without a cluster
+	orders *orders.Keeper // maintenance orders of the cluster; nil without a cluster
 
-	saveMu sync.Mutex // one write of the file at a time, each of the set as it is then: none overtakes a newer one
+	saveMu sync.Mutex // serializes reading the set and writing the file, so that an older set never overwrites a newer one
 }
 
+// Ready reports whether the process serves calls and is not stopping.
 func (h *adminHandler) Ready() bool { return !h.stopping.Load() && h.router.Healthy() }
 
+// Stats returns the call counters as JSON.
 func (h *adminHandler) Stats() []byte {
 	var report protocol.Report
 	h.stats.Read(h.s.config.Names.Classes, &report)
@@ -39,7 +41,8 @@
 	return report.JSON()
 }
 
-// Order holds at once here, and is kept; with a cluster, orders says whether it holds at all its members.
+// Order applies a maintenance order to this sidecar and persists it. In a cluster, the returned text says whether the order
+// took effect at all members.
 func (h *adminHandler) Order(command operator.Command) (string, error) {
 	if h.orders != nil {
 		return h.orderViaCluster(command)
@@ -58,11 +61,11 @@
 	})
 }
 
-// errNotSaved is the reason to refuse an order that could not be written where the next process will find it.
+// errNotSaved refuses an order that could not be persisted for the next process.
 var errNotSaved = errors.New("it could not be kept for the next process")
 
-// changeAndSave carries out a change of what is taken out by hand, and writes it where the next process will find it. A change that
-// cannot be written is taken back and refused: a yes is owed over an upgrade.
+// changeAndSave applies a change to the maintenance set and persists it for the next process. A change that cannot be saved
+// is rolled back and refused, because an acknowledged order must survive an upgrade.
 func (h *adminHandler) changeAndSave(change func() error) error {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
@@ -77,7 +80,8 @@
 	return nil
 }
 
-// saveMaintenance writes what is taken out by hand. It tells whether that is kept, and logs why it is not. The caller holds keeping.
+// saveMaintenance persists the maintenance set. It reports whether that succeeded and logs the error otherwise. The caller
+// holds saveMu.
 func (h *adminHandler) saveMaintenance() bool {
 	path := h.s.maintenancePath()
 	if path == "" {
@@ -91,7 +95,8 @@
 	return true
 }
 
-// applyClusterSet makes what a cluster orders hold here. The record keeps it; the file is for a process that starts without one.
+// applyClusterSet applies the cluster's maintenance set. The record persists the set; the local file serves a process that
+// starts without a record.
 func (h *adminHandler) applyClusterSet(set maintenance.Set) {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
@@ -99,19 +104,21 @@
 	h.saveMaintenance()
 }
 
-// writeFileAtomic puts a whole new file in place of another: a reader sees the old or the new, never a part.
+// writeFileAtomic replaces a file: a reader sees the old or the new content, never a part.
 func writeFileAtomic(path string, b []byte) error {
 	return renameio.WriteFile(path, b, 0o600, renameio.WithTempDir(filepath.Dir(path)))
 }
 
+// Drain steers clients away: it closes idle connections and makes every response close its connection.
 func (h *adminHandler) Drain() {
 	h.s.drained.Store(true)
 	h.s.listener.CloseResting()
 }
 
+// Undrain ends the effect of Drain.
 func (h *adminHandler) Undrain() { h.s.drained.Store(false) }
 
-// maintenancePath is the file that holds the workers taken out by hand, or "" where nothing outlives the process.
+// maintenancePath is the file of the workers and zones that operators disabled, or "" without a state directory.
 func (s *Sidecar) maintenancePath() string {
 	if s.config.StateDir == "" {
 		return ""
@@ -119,8 +126,8 @@
 	return filepath.Join(s.config.StateDir, "burlpass-"+s.config.Name+".maintenance")
 }
 
-// loadMaintenance reads what an earlier process took out by hand. A missing file is an empty set; a file that is not one is
-// logged and counts for nothing.
+// loadMaintenance reads the maintenance set of an earlier process. A missing file is an empty set; an unreadable or invalid
+// file is logged and treated as empty.
 func (s *Sidecar) loadMaintenance() maintenance.Set {
 	path := s.maintenancePath()
 	if path == "" {
--- a/internal/program/rules.go
+++ b/internal/program/rules.go
@@ -14,18 +14,18 @@
 	"burlpass/internal/usage"
 )
 
-// RulesConfig is what of the [cluster] section concerns the rules of teams.
+// RulesConfig is the part of the [cluster] section that concerns the teams' rules.
 type RulesConfig struct {
-	// Rules has the record hold rules of teams and lets them take effect here. It is the same at all members.
+	// Rules stores the teams' rules in the record and enforces them here. It is the same at all members.
 	Rules bool `toml:"rules" default:"false" doc:"rules of teams are kept in the record, and hold for the calls of this sidecar; the same at every member, from the forming on"`
-	// Island and Hall are where this sidecar is, as rules name it; "" for its zone.
+	// Island and Hall locate this sidecar in the terms of the rules (a hall is a zone); "" stands for the sidecar's zone.
 	Island string `toml:"island" doc:"the island that this sidecar's calls are of, as rules name it; the zone where it is empty"`
 	Hall   string `toml:"hall" doc:"the hall or branch, likewise"`
-	// Caller and Version are headers, "" for none; Segment is a place in the path, 0 for none.
+	// Caller and Version are header names, "" for none; Segment is the index of a path segment, 0 for none.
 	Caller  string `toml:"caller" doc:"header in which a call names its caller, for rules; nobody is named where it is empty"`
 	Version string `toml:"version" doc:"header in which a call names its API version"`
 	Segment int    `toml:"version_segment" default:"0" range:"0..8" doc:"the path's segment that is the API version where no header has it: 1 is the one after the class; 0 for none"`
-	// UnderWay is a header, "" for none.
+	// UnderWay is a header name, "" for none.
 	UnderWay string `toml:"under_way" doc:"header that a call has whose booking is under way: it is not shed where its API version ends"`
 }
 
@@ -39,23 +39,23 @@
 		key, text, expected string
 		pattern             *regexp.Regexp
 	}{
-		{"cluster.island", c.Island, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", locationPattern},
-		{"cluster.hall", c.Hall, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", locationPattern},
-		{"cluster.caller", c.Caller, "the name of a header is", headerNamePattern},
-		{"cluster.version", c.Version, "the name of a header is", headerNamePattern},
-		{"cluster.under_way", c.UnderWay, "the name of a header is", headerNamePattern},
+		{"cluster.island", c.Island, "1 to 40 of a-z, 0-9, '.', '_' and '-'", locationPattern},
+		{"cluster.hall", c.Hall, "1 to 40 of a-z, 0-9, '.', '_' and '-'", locationPattern},
+		{"cluster.caller", c.Caller, "the name of a header", headerNamePattern},
+		{"cluster.version", c.Version, "the name of a header", headerNamePattern},
+		{"cluster.under_way", c.UnderWay, "the name of a header", headerNamePattern},
 	} {
 		switch {
 		case v.text == "" || file.Failed(v.key):
 		case !v.pattern.MatchString(v.text):
-			file.Fail(v.key, "%q: %s expected", v.text, v.expected)
+			file.Fail(v.key, "%q: must be %s", v.text, v.expected)
 		case !c.Rules && !file.Failed("cluster.rules"):
-			file.Fail(v.key, "it says nothing without rules = true")
+			file.Fail(v.key, "has no effect without rules = true")
 		}
 	}
 }
 
-// initRules makes the rules of the member's record the router's gate. Without them it does nothing.
+// initRules sets up the gate that enforces the record's rules on calls. It does nothing if rules are off.
 func (s *Sidecar) initRules() {
 	config := s.config
 	if s.member == nil || !config.Cluster.Rules {
@@ -82,7 +82,8 @@
 	registerRuleMetrics(s.member, s.enforcer)
 }
 
-// startRules has the rules followed until stop is called, which gives back what this process has of the fleet's limits.
+// startRules starts the goroutines that keep rules, limits, API versions and usage reports up to date. The returned stop ends
+// them and gives this process's share of the fleet-wide limits back.
 func (s *Sidecar) startRules() (stop func()) {
 	if s.enforcer == nil {
 		return func() {}
--- a/internal/program/rules_test.go
+++ b/internal/program/rules_test.go
@@ -16,17 +16,17 @@
 	"burlpass/internal/rules"
 )
 
-// What rules need is told with its place where it is wrong, and says nothing without them.
+// Faults in the settings for rules are reported with their key, also when rules are off and the settings have no effect.
 func TestRulesConfig(t *testing.T) {
 	folder := t.TempDir()
 	for lines, want := range map[string]string{
 		"":             "",
 		"rules = true": "",
 		"rules = true\nisland = \"athens\"\nhall = \"h1\"\ncaller = \"X-Caller\"\nversion = \"X-V\"\nversion_segment = 1": "",
-		"caller = \"X-Caller\"":               "cluster.caller: it says nothing without rules = true",
-		"rules = true\ncaller = \"X Caller\"": `cluster.caller: "X Caller": the name of a header is expected`,
-		"rules = true\nisland = \"Athens\"":   `cluster.island: "Athens": 1 to 40 of a-z`,
-		"rules = true\nhall = \"*\"":          `cluster.hall: "*": 1 to 40 of a-z`,
+		"caller = \"X-Caller\"":               "cluster.caller: has no effect without rules = true",
+		"rules = true\ncaller = \"X Caller\"": `cluster.caller: "X Caller": must be the name of a header`,
+		"rules = true\nisland = \"Athens\"":   `cluster.island: "Athens": must be 1 to 40 of a-z`,
+		"rules = true\nhall = \"*\"":          `cluster.hall: "*": must be 1 to 40 of a-z`,
 		"rules = true\nversion_segment = 9":   "cluster.version_segment",
 		"rules = \"yes\"":                     "cluster.rules",
 		"rules = true\nversion = \"a:b\"\n":   `cluster.version: "a:b"`,
@@ -38,8 +38,8 @@
 	}
 }
 
-// A rule written into the record refuses calls of a whole sidecar with 429 and a time to stay away, counts them on the cluster's address, and
-// lets others pass; taken back, it refuses nothing.
+// A rule written to the record makes a whole sidecar refuse matching calls with 429 and Retry-After and count them in the
+// metrics at the cluster's address, while other calls pass. Once the rule is removed, nothing is refused.
 func TestRuleRefusesCalls(t *testing.T) {
 	cluster := singleVoterConfig(t)
 	cluster.RulesConfig = RulesConfig{Rules: true, Caller: "X-Caller", Island: "athens"}
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -26,50 +26,50 @@
 )
 
 const (
-	drainPeriod            = 700 * time.Millisecond // clients still come and send for that long after the signal
-	earlyRefusalRetryAfter = time.Second            // advised to a client that is refused before the module is asked
-	memoryLimitFraction    = 0.75                   // of the limit, left to the runtime; the rest is for what it does not count
-	idleTimeoutFraction    = 0.7                    // of the time after which a worker closes an idle connection
+	drainPeriod            = 700 * time.Millisecond // clients still connect and send for this long after the stop signal
+	earlyRefusalRetryAfter = time.Second            // for calls refused before the decision module sees them
+	memoryLimitFraction    = 0.75                   // of the memory limit, for the Go runtime; the rest is for memory that it does not count
+	idleTimeoutFraction    = 0.7                    // of the time after which workers close idle connections
 
-	maxDeadlineWait  = 3 * time.Second        // of the settings' longest deadline, for which the platform waits after drainTime
-	exitMargin       = 200 * time.Millisecond // before the platform may kill the process, or half of that deadline
-	acceptTimeout    = time.Second            // for accepting the clients that have come by the end of drainTime, before resting ones end
-	finalWritePeriod = 50 * time.Millisecond  // for what is written once the requests have been ended
+	maxDeadlineWait  = 3 * time.Second        // part of the longest deadline that the platform waits after drainPeriod
+	exitMargin       = 200 * time.Millisecond // before the platform may kill the process, at most half of the deadline wait
+	acceptTimeout    = time.Second            // to accept clients that connected within drainPeriod, before idle connections are closed
+	finalWritePeriod = 50 * time.Millisecond  // to write responses after open calls have been ended
 )
 
-// exitTimeout is the time after the signal to end at which requests are still answered; the platform may kill the process
-// drainTime and the longest deadline after the signal.
+// exitTimeout is how long after the stop signal calls are still answered. The platform may kill the process once drainPeriod
+// and the longest deadline have passed after the signal.
 func exitTimeout(longestDeadline time.Duration) time.Duration {
 	deadlineWait := min(longestDeadline, maxDeadlineWait)
 	return drainPeriod + deadlineWait - min(exitMargin, deadlineWait/2)
 }
 
-// Apply sets the process's own limits to what the platform grants.
+// Apply sets GOMAXPROCS and the runtime's memory limit from the resources that the platform grants.
 func (l Limits) Apply() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(l.MemoryMB) * (1 << 20)))
 }
 
-// Sidecar is a sidecar that listens.
+// Sidecar is a sidecar with open listeners; Run makes it serve.
 type Sidecar struct {
 	config        *Config
 	network       transport.Network
 	log           *slog.Logger
 	listener      *transport.Listener
 	pool          *transport.Pool
-	router        atomic.Pointer[routing.Router] // once Run has begun
-	drained       atomic.Bool                    // drained by the operators
-	adminListener net.Listener                   // the operators' door; nil where there is none
-	member        clusterMember                  // this process's part in a cluster; nil where there is none
-	gate          routing.Gate                   // the rules of a cluster; nil where there are none
-	origins       *protocol.Origins              // where calls carry what those go by
-	enforcer      *enforcement.Enforcer          // the gate and what it counts limits by; nil where there are no rules
+	router        atomic.Pointer[routing.Router] // set by Run
+	drained       atomic.Bool                    // by an operator's DRAIN
+	adminListener net.Listener                   // for operators; nil if not configured
+	member        clusterMember                  // nil without a cluster
+	gate          routing.Gate                   // enforces the cluster's rules; nil without rules
+	origins       *protocol.Origins              // where calls carry the attributes that rules match
+	enforcer      *enforcement.Enforcer          // nil without rules, as are the fields below
 	limits        *limits.Limits
-	versions      *enforcement.Versions // the gate before the governor: versions of the API that end
-	usage         *usage.Reporter       // who uses them
+	versions      *enforcement.Versions // handles API versions that end, in front of the enforcer
+	usage         *usage.Reporter       // reports which callers use these versions
 }
 
-// New listens on the network, and readies the connections' bounds, for what c says.
+// New opens the listeners, divides the sockets among clients and workers, and opens the cluster member, as configured.
 func New(network transport.Network, cfg *Config, logger *slog.Logger) (*Sidecar, error) {
 	clients, reserved, workers := transport.Split(cfg.Limits.Sockets, operatorSockets(cfg))
 	listener, err := listenForClients(network, cfg, clients, reserved)
@@ -101,8 +101,8 @@
 	return s, nil
 }
 
-// operatorSockets is how many descriptors the operators' address takes: its listener, the callers that it holds, and one
-// that it has just accepted and is about to close an older one for.
+// operatorSockets is the number of descriptors that the admin listener needs: the listener itself, its connections, and one
+// more that was just accepted, before an older connection is closed to make room.
 func operatorSockets(config *Config) int {
 	if config.Operator == "" {
 		return 0
@@ -110,7 +110,7 @@
 	return operator.MaxConns + 2
 }
 
-// listenForClients binds the clients' address, or takes the socket that the platform holds where it names one.
+// listenForClients binds the clients' address, or takes over the platform's listening socket if configured.
 func listenForClients(network transport.Network, config *Config, clients, reserved int) (*transport.Listener, error) {
 	if !config.Inherit {
 		listener, err := transport.Listen(network, config.Listen, clients, reserved)
@@ -123,7 +123,7 @@
 		Inherit(fd int) (net.Listener, error)
 	})
 	if !ok {
-		return nil, errors.New("EDGE_ACCEPT_FD: this network cannot take a descriptor over")
+		return nil, errors.New("EDGE_ACCEPT_FD: this network cannot inherit a descriptor")
 	}
 	listener, err := inheriter.Inherit(config.AcceptFD)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return transport.Serve(listener, clients, reserved), nil
 }
 
-// AdminAddr is where operators connect; nil where there is no door.
+// AdminAddr is the address of the admin listener, or nil if there is none.
 func (s *Sidecar) AdminAddr() net.Addr {
 	if s.adminListener == nil {
 		return nil
@@ -140,10 +140,10 @@
 	return s.adminListener.Addr()
 }
 
-// Addr is where clients connect.
+// Addr is the address that clients connect to.
 func (s *Sidecar) Addr() net.Addr { return s.listener.Addr() }
 
-// Open is the number of calls that have no answer yet.
+// Open is the number of calls that have not been answered yet.
 func (s *Sidecar) Open() int {
 	if r := s.router.Load(); r != nil {
 		return r.Open()
@@ -151,8 +151,8 @@
 	return 0
 }
 
-// Run serves until a signal to end arrives and everything taken has been answered. SIGHUP only reloads the
-// configuration, also between the signal to end and the end.
+// Run serves until a stop signal arrives and every accepted call has been answered, or the exit timeout has passed. SIGHUP
+// only reloads the configuration, also while the sidecar is stopping.
 func (s *Sidecar) Run(signals <-chan os.Signal) {
 	runCtx, cancelRun := context.WithCancel(context.Background())
 	defer cancelRun()
@@ -208,7 +208,7 @@
 	exitBy := time.Now().Add(exitTimeout(longestDeadline))
 	stopping.Store(true)
 	startDrain()
-	s.log.Info("drain", "signal", signal.String()) // from here on every answer steers away
+	s.log.Info("drain", "signal", signal.String()) // from now on every response asks the client to reconnect elsewhere
 	s.listener.EndBy(exitBy.Add(finalWritePeriod))
 	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()
 	time.Sleep(drainPeriod)
@@ -239,7 +239,7 @@
 	}
 }
 
-// handleSignals reloads at each SIGHUP until ctx is done, and passes on the first other signal.
+// handleSignals reloads on each SIGHUP until ctx is done, and returns a channel that gets the first other signal.
 func (s *Sidecar) handleSignals(ctx context.Context, signals <-chan os.Signal, router *routing.Router) <-chan os.Signal {
 	stopSignal := make(chan os.Signal, 1)
 	go func() {
@@ -252,7 +252,7 @@
 				}
 				select {
 				case stopSignal <- signal:
-				default: // ending already
+				default: // already stopping
 				}
 			case <-ctx.Done():
 				return
@@ -262,7 +262,7 @@
 	return stopSignal
 }
 
-// reload takes in the file's new registry. A file with any fault changes nothing.
+// reload switches to the registry that the file names now. A file with any fault changes nothing.
 func (s *Sidecar) reload(router *routing.Router) {
 	next, err := s.config.Reload()
 	if err != nil {
