--- a/internal/program/bench_test.go
+++ b/internal/program/bench_test.go
@@ -13,8 +13,8 @@
 	"burlpass/internal/transport"
 )
 
-// BenchmarkCall is one call through a whole sidecar on loopback, over kept connections, to a worker that answers at
-// once: what the sidecar itself costs, without a cluster and as its only voter.
+// BenchmarkCall measures one call through a whole sidecar on loopback, over kept-alive connections, to a worker that answers
+// immediately: the cost of the sidecar itself, without a cluster and as the only voter of one.
 func BenchmarkCall(b *testing.B) {
 	for name, cluster := range map[string]*ClusterConfig{"without": nil, "voter": singleVoterConfig(b)} {
 		b.Run(name, func(b *testing.B) {
@@ -27,12 +27,12 @@
 	}
 }
 
-// onlyVoter is a cluster of one.
+// singleVoterConfig configures a cluster of one voter.
 func singleVoterConfig(tb testing.TB) *ClusterConfig {
 	return &ClusterConfig{Name: "c", Member: "v", Listen: "127.0.0.1:0", Folder: tb.TempDir(), Voters: []ClusterPeer{{Name: "v", Addr: "127.0.0.1:1"}}}
 }
 
-// opened is a sidecar that listens and does not run yet, with one worker.
+// testSidecar is a sidecar with one worker that listens but does not run yet.
 type testSidecar struct {
 	testing.TB
 	*Sidecar
@@ -82,7 +82,7 @@
 	return &testSidecar{tb, sidecar}
 }
 
-// run has the sidecar serve until the test ends, and gives what makes one call.
+// startCalls runs the sidecar until the test ends and returns a function that makes one call.
 func (s *testSidecar) startCalls() (call func()) {
 	signals := make(chan os.Signal, 1)
 	done := make(chan struct{})
--- a/internal/program/client_disconnect_test.go
+++ b/internal/program/client_disconnect_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A client that has gone is served no more, whatever it has sent ahead of its end.
+// After a client disconnects, nothing it sent is served any more, however much it had pipelined.
 func TestClientDisconnects(t *testing.T) {
 	const (
 		openBooking = `
@@ -21,21 +21,21 @@
 		pipelinedCall = `GET /availability/x HTTP/1.1\r\nX-Trace-Id: a<40>\r\nX-Expires-In: 3000m\r\n\r\n`
 	)
 	for name, s := range map[string]scenario{
-		"behind a byte": {known: "0=up", script: openBooking + `
+		"after one more byte": {known: "0=up", script: openBooking + `
 			a send "G"` + disconnect},
-		// The request behind the one that is open is dropped with it: the next that arrives is another client's.
-		"behind a request": {known: "0=up", script: openBooking + `
+		// The pipelined call is dropped with the open one: the next attempt belongs to another client's call.
+		"after a pipelined call": {known: "0=up", script: openBooking + `
 			a send GET /availability/x id=t2 expires=3000m` + disconnect},
-		"behind more than a head": {known: "0=up", script: openBooking + `
+		"after more than fits a head": {known: "0=up", script: openBooking + `
 			a send "` + strings.Repeat(pipelinedCall, 200) + `"` + disconnect},
-		"behind more than is held": {known: "0=up", script: openBooking + `
+		"after more than is buffered": {known: "0=up", script: openBooking + `
 			a send "` + strings.Repeat(pipelinedCall, 2000) + `"` + disconnect},
-		"behind a long body": {known: "0=up", script: `
+		"after a long body": {known: "0=up", script: `
 			a send "POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 100000\r\n\r\n<100000>G"
 			w1 expect begins POST /booking/x
 			w1 expect POST /booking/x id=t1 body=<100000>` + disconnect},
-		// A request that waits in the module for a worker is dropped with its client.
-		"while nobody can serve": {known: "0=draining", script: `
+		// A call that waits for a worker is dropped when its client disconnects.
+		"while no worker can serve": {known: "0=draining", script: `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			a send "POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 1\r\n\r\nbG"
 			b send "GET /_health HTTP/1.1\r\n\r\n"
@@ -50,7 +50,7 @@
 	}
 }
 
-// Requests that come together, and more of them than a head's buffer holds, each get their own answer in their order.
+// Pipelined calls, more than fit into the read buffer, each get their own response in order.
 func TestPipelinedCalls(t *testing.T) {
 	var requests, answers strings.Builder
 	for range 100 {
--- a/internal/program/config_test.go
+++ b/internal/program/config_test.go
@@ -14,7 +14,7 @@
 const jsonConfig = `{"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	"known":{"generation":1,"reset":true,"instances":[]},"settings":` + jsonSettings + `}`
 
-// A sidecar that cannot start says in one line what is at fault.
+// A sidecar that cannot start reports the fault on one line.
 func TestLoadNamesTheFault(t *testing.T) {
 	for name, test := range map[string]struct {
 		unset, listen, fd, from, to, want string
@@ -54,7 +54,7 @@
 	}
 }
 
-// The module's settings are the nested JSON's, name for name.
+// The flattened settings have the same names as the nested JSON.
 func TestFlatten(t *testing.T) {
 	got, err := flattenSettings([]byte(`{"a":{"b":{"c":5000000}},"l":["x y","z,"],"o":[{"n":1.50},{"n":true}],"e":[]}`))
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Every fault is told with its place, in both forms.
+// Every fault is reported with its position, in both formats.
 func TestCheckReportsAllFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		text string
@@ -108,7 +108,7 @@
 	}
 }
 
-// The example files say the same in both forms, and both are whole.
+// The example files are valid and give the same configuration in both formats.
 func TestExampleConfigsAgree(t *testing.T) {
 	var forms [2]*Config
 	for i, path := range []string{"../../docs/config.example.json", "../../docs/config.example.toml"} {
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 		c.Path, c.Seed, c.Registry, c.Known.Generation = "", 0, "", 0
-		c.Decide.Tick = 0 // of the simulator
+		c.Decide.Tick = 0 // set by the simulator only
 		forms[i] = c
 	}
 	if diff := cmp.Diff(forms[0], forms[1], cmpopts.IgnoreUnexported(Config{})); diff != "" {
@@ -130,7 +130,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var c Config
 		if _, err := c.parseJSON(text); err == nil && (c.Known == nil || len(c.Names.Classes) != len(c.Decide.Classes)) {
-			t.Errorf("taken: %s", text)
+			t.Errorf("accepted: %s", text)
 		}
 	})
 }
--- a/internal/program/connection_close_test.go
+++ b/internal/program/connection_close_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// What a client sends beyond what is read of it must not turn the end of its connection into a reset, which can take the
-// answer with it: it gets the answer, then an end.
+// Closing a connection with unread data resets it, and a reset can discard the response. A client that sends more than is
+// read must still get its response and then an orderly close.
 func TestCloseDoesNotReset(t *testing.T) {
-	unread := strings.Repeat("x", 40_000) // more than the buffer of a connection
+	unread := strings.Repeat("x", 40_000) // more than a connection's read buffer
 	for name, exchange := range map[string]struct{ send, answer string }{
 		"last request":  {"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n" + unread, "HTTP/1.1 200"},
 		"HTTP/1.0":      {"GET /_health HTTP/1.0\r\n\r\n" + unread, "HTTP/1.1 200"},
@@ -37,7 +37,7 @@
 	}
 }
 
-// What comes after the end has been sent is not served: the next that arrives is another client's.
+// A call sent after the sidecar has closed its side is not served: the next attempt belongs to another client's call.
 func TestNoCallAfterClose(t *testing.T) {
 	playScenario(t, scenario{known: "0=up", script: `
 		a send "GET /availability/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 3000m\r\nConnection: close\r\n\r\n"
--- a/internal/program/cpu_cost_test.go
+++ b/internal/program/cpu_cost_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// BenchmarkCost is the processor time that a sidecar alone, in a process of its own, takes for a call: one that is
-// carried, one that the server answers itself on a kept connection (of a class that does not exist: it takes the way
-// of a refusal), and one that is refused on a new connection because the table is full.
+// BenchmarkCost measures the CPU time per call of a sidecar in its own process: for a call that is passed on, for one that the
+// sidecar answers itself on a kept-alive connection (its class does not exist, so it takes the path of a refusal), and for one
+// that is refused on a new connection because the connection table is full.
 func BenchmarkCost(b *testing.B) {
 	for _, test := range []struct {
 		name, class string
 		crowded     bool
 	}{{"carried", "availability", false}, {"answered", "none", false}, {"crowded", "availability", true}} {
 		b.Run(test.name, func(b *testing.B) {
-			silentListener, err := net.Listen("tcp", "127.0.0.1:0") // a worker that takes calls and answers none
+			silentListener, err := net.Listen("tcp", "127.0.0.1:0") // a worker that accepts calls and never answers
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -31,7 +31,7 @@
 			c, addr := startSidecar(b, worker, 64)
 			load := &loadGenerator{addr: addr, class: test.class}
 			if test.crowded {
-				for i := range 20 { // as many as 64 descriptors allow
+				for i := range 20 { // all client connections that 64 descriptors allow
 					conn, err := net.Dial("tcp", addr)
 					if err != nil {
 						b.Fatal(err)
@@ -40,7 +40,7 @@
 					fmt.Fprintf(conn, "GET /availability/x HTTP/1.1\r\nX-Trace-Id: h%d\r\nX-Expires-In: 60000m\r\n\r\n", i)
 				}
 			}
-			load.runClient() // connections to the worker are there then
+			load.runClient() // warm-up: opens the connections to the worker
 			refused := load.refused.Load()
 			before, n := processCPUTime(b, c.Process.Pid), 0
 			for b.Loop() {
@@ -55,7 +55,7 @@
 	}
 }
 
-// used is the processor time that a process has taken, in steps of 10 ms.
+// processCPUTime is the CPU time that a process has used, in steps of 10 ms.
 func processCPUTime(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/program/deployment_test.go
+++ b/internal/program/deployment_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// What another deployment's settings ask for: lists that an agent pushes, and second copies.
+// Settings of other deployments: worker lists pushed by an agent, and second copies of a call.
 func TestDeploymentSettings(t *testing.T) {
 	const second = `
 			a send GET /availability/x id=t1 expires=2000m
@@ -10,7 +10,7 @@
 			w1 send 200 ok
 			a expect 200 ok`
 	for name, s := range map[string]scenario{
-		// The sidecar keeps the watch by itself, from the whole list on; what is told is heeded at once.
+		// The sidecar fetches the whole list, then keeps a watch open; changes apply at once.
 		"pushed": {settings: pushedLists, script: `
 			registry expect GET /catalog/members
 			registry send 1 reset 0=up 1=up
@@ -18,15 +18,15 @@
 			registry serves 2 0=draining
 			registry send 2 0=draining
 			log expect generation=2` + second},
-		// An agent that says nothing is asked again beside the call that waits, and that is logged; its first word
-		// counts, to whichever call it comes.
-		"pushed, silent for long": {settings: pushedLists, known: "0=up", script: `
+		// If the agent stays silent, a second request goes out while the first one waits, and that is logged. The first
+		// response counts, whichever request it belongs to.
+		"pushed, silent agent": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry expect GET /catalog/members
 			log expect event=registry_failed
 			registry serves 7 reset 1=up
 			log expect generation=7` + second},
-		// One that breaks off at each call, then answers garbage: the old list stays in force, and it is asked on.
+		// The agent closes each connection, then sends garbage: the old list stays in force and the sidecar keeps asking.
 		"pushed, resets and garbage": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry close
@@ -45,8 +45,8 @@
 			w2 expect GET /availability/x id=t2 at=1
 			w2 send 200 ok
 			a expect 200 ok`},
-		// One that counts anew after it was away: its whole list is the one in force, however low its generation.
-		"pushed, counts anew": {settings: pushedLists, known: "0=up", script: `
+		// The agent restarts its generation count after a disconnect: its whole list applies, however low its generation.
+		"pushed, generation restarts": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 9 reset 0=up
 			registry expect GET /catalog/members?since=9&timeout_ms=250
@@ -57,8 +57,8 @@
 			w2 expect GET /availability/x id=t2 at=1
 			w2 send 200 ok
 			b expect 200 ok`},
-		// The same without a break: changes that count from below are no changes to the list at hand.
-		"pushed, counts anew without a word": {settings: pushedLists, known: "0=up", script: `
+		// The same without a disconnect: changes of a lower generation do not apply to the current list.
+		"pushed, generation restarts without disconnect": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 9 reset 0=up
 			registry expect GET /catalog/members?since=9&timeout_ms=250
@@ -67,15 +67,14 @@
 			registry serves 3 reset 1=up
 			registry send 3 reset 1=up
 			log expect generation=3` + second},
-		// A list that shrinks to nothing is believed: nobody is left to send to, and it is refused at the end of what
-		// could still be earned.
-		"pushed, nobody left": {settings: pushedLists, script: `
+		// An empty list is accepted: no worker is left, and the call is refused once it can no longer be answered in time.
+		"pushed, no worker left": {settings: pushedLists, script: `
 			registry expect GET /catalog/members
 			registry send 3 reset
 			registry expect GET /catalog/members?since=3&timeout_ms=250
 			a send POST /booking/x id=t1 expires=100m body=b
 			a expect 503 after=1.5`},
-		// A reload moves to the agent that the file names now, and follows that one from then on.
+		// A reload switches to the agent that the file names now, and follows it from then on.
 		"pushed, reload": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 8 reset 0=up
@@ -85,8 +84,8 @@
 			sidecar send HUP
 			registry wait
 			log expect generation=0` + second},
-		// A reload whose file says that lists are asked for now, where they were pushed: that takes a restart, and says
-		// so; the registry moves, and is followed as before.
+		// A reload changes the lists from pushed to asked: that needs a restart, which is logged; the registry switches and
+		// is followed as before.
 		"pushed, reload to asked": {settings: pushedLists, known: "0=up", script: `
 			registry expect GET /catalog/members
 			registry send 8 reset 0=up
@@ -96,7 +95,7 @@
 			sidecar send HUP
 			log expect needs_restart=settings
 			log expect generation=1` + second},
-		// Workers that report nothing, of which one sends a report all the same: calls pass, and nothing is made of it.
+		// With load reports off, a report that a worker sends anyway is ignored and calls pass.
 		"no reports": {settings: `"columns":["util","eps","queue"],"via":"pull"=>"columns":[],"via":"silent"`, known: "0=up", script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
@@ -106,7 +105,7 @@
 			w1 expect GET /availability/y id=t2
 			w1 send 200 ok
 			a expect 200 ok`},
-		// A second copy goes out beside the first; the first whole answer is the call's, the other is called off.
+		// A second copy is sent while the first is open; the first whole response wins and the other attempt is cancelled.
 		"second copy answers": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w3 send 200 two
 			a expect 200 two
@@ -119,7 +118,7 @@
 			w4 expect GET /availability/y id=t2
 			w4 send 200 next
 			a expect 200 next`},
-		// Both at once: one answer, and the next call's own after it.
+		// Both copies answer at once: the client gets one response, and the next call gets its own.
 		"both copies answer": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w2 send 200 same
 			w3 send 200 same
@@ -128,7 +127,7 @@
 			w4 expect GET /availability/y id=t2
 			w4 send 200 next
 			a expect 200 next`},
-		// A copy that fails decides nothing while another is out.
+		// A failed copy does not decide the call while the other is open.
 		"first copy fails": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			w2 send 500 no
 			w3 send 200 two
@@ -137,7 +136,7 @@
 			w2 close
 			w3 send 200 two
 			a expect 200 two`},
-		"client leaves two copies": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
+		"client disconnects from two copies": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			a close
 			w2 wait
 			w3 wait`},
@@ -148,7 +147,7 @@
 			w3 send 200 two
 			a expect 200 close two
 			sidecar wait exit`},
-		// The list takes the copy's worker away: the copy that is out ends by itself, and its answer counts.
+		// The list drains the copy's worker: the open attempt continues, and its response counts.
 		"second copy's worker is drained": {settings: allowSecondCopies, known: "0=up", script: secondCopySent + `
 			registry expect GET /catalog/members?since=2&timeout_ms=RANDOM
 			registry send 3 1=draining
@@ -156,7 +155,7 @@
 			w3 send 200 two
 			a expect 200 two
 			w2 wait`},
-		// A booking is never copied, whatever speaks against its worker: two attempts have gone out for two calls.
+		// An unsafe call is never copied, however late its worker is: two calls make two attempts.
 		"no copy of an unsafe call": {settings: allowSecondCopies, known: "0=up", script: `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			z send POST /booking/z id=t0 expires=6000m body=b
@@ -167,13 +166,13 @@
 			a expect 504
 			operator send STATS
 			operator expect {"success":{"availability":0,"booking":0,"paid-extra":0},"busy":{"availability":0,"booking":0,"paid-extra":0},"failure":{"availability":0,"booking":1,"paid-extra":0},"backend_calls":2,"inflight":1,"hosts_listed":2,"hosts_down":0,"list_age_ms":T} | --`},
-		// Where copies are not allowed the first attempt's connection is closed before another goes out.
+		// Without second copies, the first attempt's connection is closed before another attempt starts.
 		"copies off": {settings: `"aim_us":600000=>"aim_us":3000000`, known: "0=up", script: secondCopySent + `
 			w2 wait
 			w3 send 200 two
 			a expect 200 two`},
-		// Backends of two zones that the settings do not name: a keyed request whose first attempt may have run stays in that
-		// attempt's zone, where nobody is left, and has failed. One attempt has gone out.
+		// Workers in two zones that the settings do not list: a keyed call whose first attempt may have run stays in that
+		// attempt's zone, where no other worker is left, and fails after one attempt.
 		"zones not in the settings": {known: "0=up@pier-x 1=up@pier-y", script: `
 			a send POST /paid-extra/x id=t1 expires=1500m key=k1 body=b
 			w1 expect POST /paid-extra/x id=t1 key=k1 body=b
@@ -181,7 +180,7 @@
 			a expect 502
 			operator send STATS
 			operator expect {"success":{"availability":0,"booking":0,"paid-extra":0},"busy":{"availability":0,"booking":0,"paid-extra":0},"failure":{"availability":0,"booking":0,"paid-extra":1},"backend_calls":1,"inflight":0,"hosts_listed":2,"hosts_down":0,"list_age_ms":T} | --`},
-		// Two backends of one such zone are one group.
+		// Two workers in one such zone form one group.
 		"a zone not in the settings": {known: "0=up@pier-x 1=up@pier-x", script: `
 			a send POST /paid-extra/x id=t1 expires=1500m key=k1 body=b
 			w1 expect POST /paid-extra/x id=t1 key=k1 body=b
--- a/internal/program/gate_bench_test.go
+++ b/internal/program/gate_bench_test.go
@@ -17,7 +17,8 @@
 	"burlpass/internal/rules"
 )
 
-// manyRules is a record of 10,157 rules in 1,451 namespaces, every setting in each, of 50 teams beside the root's.
+// recordWithManyRules returns a record with 10,157 rules in 1,451 namespaces, one rule per setting in each namespace, owned by
+// 50 teams and the root team.
 func recordWithManyRules(tb testing.TB) *replica.Replica {
 	model := record.New(record.DefaultBounds(), rules.Domains(nil)...)
 	n := 0
@@ -71,8 +72,8 @@
 
 func (m replicaMember) Replica() *replica.Replica { return m.r }
 
-// BenchmarkGate is BenchmarkCall's call without a gate, and with one of 10,157 rules: its caller is named, it counts against a limit of
-// calls a second and one of calls at once, which have room.
+// BenchmarkGate measures the call of BenchmarkCall without a gate and with a gate of 10,157 rules. The call names its caller and
+// counts against a rate limit and a concurrency limit, neither of which is reached.
 func BenchmarkGate(b *testing.B) {
 	r := recordWithManyRules(b)
 	gate := func(b *testing.B) *enforcement.Enforcer {
@@ -86,7 +87,7 @@
 		}
 		return g
 	}
-	b.Run("asked alone", func(b *testing.B) {
+	b.Run("gate only", func(b *testing.B) {
 		g, call := gate(b), &protocol.Call{Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: "availability", Path: "/x"}}
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/program/gate_test.go
+++ b/internal/program/gate_test.go
@@ -12,12 +12,12 @@
 	"burlpass/internal/routing"
 )
 
-// asked is a gate made of a function.
+// gateFunc is a function that serves as a gate.
 type gateFunc func(call *protocol.Call) routing.Terms
 
 func (f gateFunc) Enter(call *protocol.Call) routing.Terms { return f(call) }
 
-// What a gate says holds for the call that it was asked about, on its whole way.
+// The terms that a gate returns for a call apply until the call ends.
 func TestGate(t *testing.T) {
 	withPolicy := func(terms routing.Terms) func(*protocol.Call) routing.Terms {
 		return func(*protocol.Call) routing.Terms { return terms }
@@ -32,20 +32,20 @@
 	}
 	const sunset = "Sunset: soon\r\n"
 	const longCall = `POST /booking/x HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Expires-In: 60000m\r\nContent-Length: 90000\r\n\r\n<90000>`
-	secondCopyArrival := secondCopySent[strings.LastIndex(secondCopySent, "w3"):] // where the copy arrives
+	secondCopyArrival := secondCopySent[strings.LastIndex(secondCopySent, "w3"):] // the line on which the copy arrives
 	appCallSucceeds := `
 			a send GET /availability/x id=t2 expires=2000m caller=app
 			w1 expect GET /availability/x id=t2
 			w1 send 200 ok
 			a expect 200 ok`
 	for name, s := range map[string]scenario{
-		// A refused call reaches nobody: the next call's arrival is the first. It counts as busy.
+		// A refused call reaches no worker: the first attempt belongs to the next call. It is counted as busy.
 		"refused": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited, Wait: 200 * time.Millisecond}), script: `
 			a send POST /booking/x id=t1 expires=2000m body=b
 			a expect 429 after=0.2` + appCallSucceeds + `
 			operator send STATS
 			operator expect {"success":{"availability":1,"booking":0,"paid-extra":0},"busy":{"availability":0,"booking":1,"paid-extra":0},"failure":{"availability":0,"booking":0,"paid-extra":0},"backend_calls":1,"inflight":0,"hosts_listed":2,"hosts_down":0,"list_age_ms":T} | --`},
-		"refused for long": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited, Wait: time.Minute}), script: `
+		"refused with a long wait": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited, Wait: time.Minute}), script: `
 			a send GET /booking/x id=t1 expires=2000m
 			a expect 429 after=1.5` + appCallSucceeds},
 		"no advice": {settings: `"retry_after":true=>"retry_after":false`,
@@ -58,7 +58,7 @@
 		"shed with a header": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Refused, Wait: time.Second, Header: sunset}), script: `
 			a send GET /booking/x id=t1 expires=2000m
 			a expect 503 after=1 sunset=soon` + appCallSucceeds},
-		// The rest of a long message that is refused is read and dropped.
+		// The rest of a long request that is refused is read and discarded.
 		"a long message refused": {gate: refuseUnlessApp(protocol.Answer{Verdict: protocol.Limited}), script: `
 			a send "` + longCall + `"
 			a expect 429 close
@@ -78,13 +78,13 @@
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n<70000>"
 			a expect begins 200
 			a expect 200 sunset=soon <70000>`},
-		// One attempt where the class has three: what broke may have run.
+		// One attempt where the class allows three: the call may have run, so it fails.
 		"no attempt left": {gate: withPolicy(routing.Terms{Attempts: 1}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 close
 			a expect 502`},
-		// What surely never ran is refused, not failed.
+		// A call that never ran is refused rather than failed.
 		"no attempt left, never ran": {gate: withPolicy(routing.Terms{Attempts: 1}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
@@ -97,7 +97,7 @@
 			w2 expect GET /availability/x id=t1
 			w2 send 200 ok
 			a expect 200 ok`},
-		// A call that may not be sent again goes out again where it never ran, and only there.
+		// A call that must run at most once is retried only if the earlier attempt never ran.
 		"once": {gate: withPolicy(routing.Terms{Once: true}), script: `
 			a send POST /paid-extra/x id=t1 key=k expires=2000m body=b
 			w1 expect POST /paid-extra/x id=t1 key=k body=b
@@ -105,11 +105,11 @@
 			w2 expect POST /paid-extra/x id=t1 key=k body=b
 			w2 close
 			a expect 502` + appCallSucceeds},
-		// No copy beside one that may run, nor is that one called off for another.
+		// It gets no second copy, and its open attempt is not cancelled in favor of another.
 		"once where copies are allowed": {known: "0=up", settings: allowSecondCopies, gate: withPolicy(routing.Terms{Once: true}), script: strings.TrimSpace(strings.TrimSuffix(secondCopySent, secondCopyArrival)) + `
 			w2 send 200 ok
 			a expect 200 ok`},
-		// The client would wait for a minute, longer than this test has.
+		// The client's own deadline is a minute, longer than the test waits.
 		"deadline": {gate: withPolicy(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
 			a send POST /booking/x id=t1 expires=60000m body=b
 			w1 expect POST /booking/x id=t1 body=b
@@ -118,7 +118,7 @@
 			a send "` + longCall + `"
 			w1 expect begins POST /booking/x
 			w1 expect POST /booking/x id=t1 body=<90000>
-			a expect 502`}, // as where the client's own time ends while the worker has all of it
+			a expect 502`}, // as when the client's own deadline passes while the worker has the whole request
 		"longer than the client's": {gate: withPolicy(routing.Terms{Deadline: time.Minute}), script: `
 			a send POST /booking/x id=t1 expires=100m body=b
 			w1 expect POST /booking/x id=t1 body=b
@@ -128,7 +128,7 @@
 	}
 }
 
-// The gate is asked once whatever happens to the call, sees its origin, and is told its end.
+// The gate is asked once per call whatever happens to it, sees the call's origin, and is told how the call ended.
 func TestGateSeesEveryCall(t *testing.T) {
 	var calls atomic.Int64
 	ends := make(chan routing.End, 10)
--- a/internal/program/invariants_test.go
+++ b/internal/program/invariants_test.go
@@ -14,11 +14,11 @@
 	"burlpass/internal/routing"
 )
 
-// A process that is held up for longer than the rules allow for breaks them, and says so.
+// A process that is stopped for longer than the invariants allow breaks them and logs that.
 func TestStoppedProcessReportsInvariants(t *testing.T) {
 	t.Parallel()
 	r, w := io.Pipe()
-	t.Cleanup(func() { w.Close() }) // once the process has ended
+	t.Cleanup(func() { w.Close() }) // after the process has exited
 	lines := make(chan string, 1000)
 	go func() {
 		for s := bufio.NewScanner(r); s.Scan(); {
@@ -38,24 +38,24 @@
 	}
 	waitUntilReceived(t, addr)
 	c.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(stalledClientLimit + 200*time.Millisecond) // the fault itself
+	time.Sleep(stalledClientLimit + 200*time.Millisecond) // the injected fault
 	c.Process.Signal(syscall.SIGCONT)
-	for missing := []string{"stopped_client_ended", "answered_in_time"}; len(missing) > 0; { // they come in either order
+	for missing := []string{"stopped_client_ended", "answered_in_time"}; len(missing) > 0; { // in either order
 		select {
 		case line := <-lines:
 			missing = slices.DeleteFunc(missing, func(rule string) bool {
 				return strings.Contains(line, "event=invariant_broken rule="+rule)
 			})
 			if strings.Contains(line, "rule=answered_in_time") && !strings.Contains(line, "id=stopped-") {
-				t.Errorf("no request's id in %s", line)
+				t.Errorf("no call ID in %s", line)
 			}
 		case <-time.After(waitLimit):
-			t.Fatalf("no lines of %v", missing)
+			t.Fatalf("no log lines of %v", missing)
 		}
 	}
 }
 
-// A request that cannot be ended holds the process up to its bound, and no longer; the log says so.
+// A call that cannot be ended delays the exit up to its limit and no longer, and the log reports it.
 func TestForcedExitReportsInvariant(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
--- a/internal/program/main_test.go
+++ b/internal/program/main_test.go
@@ -15,13 +15,13 @@
 	"burlpass/internal/transport"
 )
 
-// childEnv makes the test's binary a sidecar that prints where it listens.
+// childEnv makes the test binary run as a sidecar that prints its listen address.
 const childEnv = "BURLPASS_TEST_CHILD"
 
-// failingEnv gives such a sidecar a network a tenth of whose calls of a kind fail; the kind as a number.
+// failingSyscallEnv makes a tenth of the system calls of one kind fail in such a sidecar; the value is the kind's number.
 const failingSyscallEnv = "BURLPASS_TEST_FAILING"
 
-// Whatever a test has ended leaves no goroutine behind.
+// TestMain verifies that no test leaks a goroutine.
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) != "" {
 		if err := runChild(); err != nil {
--- a/internal/program/no_cluster_test.go
+++ b/internal/program/no_cluster_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// ofCluster tells whether a line of a stack is of what [cluster] starts.
+// isClusterCode reports whether a line of a stack trace belongs to code that [cluster] starts.
 func isClusterCode(line string) bool {
 	for _, part := range []string{"burlpass/internal/cluster", "burlpass/internal/orders", "burlpass/internal/record", "burlpass/internal/rules",
 		"burlpass/internal/enforcement", "burlpass/internal/limits", "burlpass/internal/lease", "github.com/hashicorp/",
@@ -20,7 +20,7 @@
 	return false
 }
 
-// descriptors are this process's by what they lead to.
+// descriptors returns the targets of this process's open file descriptors.
 func descriptors(t *testing.T) map[string]bool {
 	all, err := filepath.Glob("/proc/self/fd/*")
 	if err != nil {
@@ -28,16 +28,16 @@
 	}
 	targets := map[string]bool{}
 	for _, fd := range all {
-		if at, err := os.Readlink(fd); err == nil { // not the one that lists them
+		if at, err := os.Readlink(fd); err == nil { // the descriptor of the listing itself is closed already
 			targets[at] = true
 		}
 	}
 	return targets
 }
 
-// clusterAllocations counts what has been allocated so far in the cluster's code.
+// clusterAllocations counts the objects allocated so far in cluster code.
 func clusterAllocations() (objects int64) {
-	runtime.GC() // a profile is of the collection before the last one
+	runtime.GC() // a profile reflects the second to last collection
 	runtime.GC()
 	n, _ := runtime.MemProfile(nil, true)
 	records := make([]runtime.MemProfileRecord, n+1000)
@@ -57,8 +57,8 @@
 	return objects
 }
 
-// Without [cluster] there is no goroutine, no descriptor and no allocation of it. That the same look finds them with it shows
-// that it would.
+// Without [cluster], the cluster's code has no goroutine, descriptor or allocation. The case with a cluster shows that the same
+// checks would find them.
 func TestNoClusterResourcesWithoutConfig(t *testing.T) {
 	rate := runtime.MemProfileRate
 	runtime.MemProfileRate = 1
@@ -72,11 +72,11 @@
 			sidecar := newTestSidecar(t, c.cluster)
 			var fresh []string
 			for to := range descriptors(t) {
-				if !before[to] && !strings.Contains(to, "anon_inode") { // the runtime's poller, once a process
+				if !before[to] && !strings.Contains(to, "anon_inode") { // the runtime's poller, opened once per process
 					fresh = append(fresh, to)
 				}
 			}
-			if more := len(fresh) > 2; more != c.wantCluster { // the worker's and the clients' addresses
+			if more := len(fresh) > 2; more != c.wantCluster { // the listeners for the worker and for clients
 				t.Errorf("descriptors: %q", fresh)
 			}
 			call := sidecar.startCalls()
--- a/internal/program/nonreading_worker_test.go
+++ b/internal/program/nonreading_worker_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// A backend that takes no more of a message than its socket does holds up neither the answer to the client nor the look for
-// the client's leaving: not on a new connection, and not on a kept one.
+// A worker that stops reading a request body delays neither the response to the client nor the detection of a client's
+// disconnect, on a new connection as on a kept-alive one.
 func TestWorkerStopsReading(t *testing.T) {
 	t.Parallel()
-	worker := scriptedWorker(t, func(conn net.Conn) { // one answer, then nothing is read any more
+	worker := scriptedWorker(t, func(conn net.Conn) { // answers once, then stops reading
 		conn.(*net.TCPConn).SetReadBuffer(2 << 10)
 		r, err := http.ReadRequest(bufio.NewReaderSize(conn, 1<<10))
 		if err == nil && r.ContentLength < 100 {
@@ -43,7 +43,7 @@
 	if err := skipResponse(r); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(sent); took > 1500*time.Millisecond { // its time is 0.5 s
-		t.Errorf("the answer came after %v", took)
+	if took := time.Since(sent); took > 1500*time.Millisecond { // its deadline is 0.5 s
+		t.Errorf("the response came after %v", took)
 	}
 }
--- a/internal/program/overload_test.go
+++ b/internal/program/overload_test.go
@@ -19,21 +19,21 @@
 	"time"
 )
 
-// The load of TestShortOfProcessor: a quarter of a core, in pieces longer than a client's connection is safe from being
-// closed for another, and clients in number three times what the sidecar has connections for.
+// The load of TestCPUStarvedSidecar: the sidecar gets a quarter of a core, with pauses longer than the time for which a client's
+// connection is protected from being closed in favor of another, and three times as many clients as connections.
 const (
 	pauseTime      = 300 * time.Millisecond
 	runTime        = 100 * time.Millisecond
 	loadClients    = 64
-	callsPerClient = 25 // calls of each client
+	callsPerClient = 25 // calls per client
 )
 
-// A sidecar that is out of processor time may refuse, and may be late; it must not end a connection over a call that
-// waits in it unread.
+// A sidecar that is short of CPU time may refuse calls or answer late, but must not close a connection on which an unread call
+// is waiting.
 func TestCPUStarvedSidecar(t *testing.T) {
 	c, addr := startSidecar(t, delayedWorker(t), 64)
 	stop, pauserDone := make(chan struct{}), make(chan struct{})
-	go func() { // the rest of the core
+	go func() { // takes the rest of the core away
 		defer close(pauserDone)
 		for {
 			c.Process.Signal(syscall.SIGSTOP)
@@ -56,7 +56,7 @@
 		all.Go(load.runClient)
 	}
 	all.Wait()
-	t.Logf("%d served, %d refused, %d given up, %d sent once more", load.served.Load(), load.refused.Load(), load.timedOut.Load(), load.resent.Load())
+	t.Logf("%d served, %d refused, %d timed out, %d sent again", load.served.Load(), load.refused.Load(), load.timedOut.Load(), load.resent.Load())
 	if n := load.lost.Load(); n > 0 {
 		t.Errorf("%d calls lost, such as: %v", n, load.lastLoss.Load())
 	}
@@ -65,13 +65,14 @@
 	}
 }
 
-// start starts this binary as a sidecar with one backend, or several with commas between them, and so many descriptors,
-// and tells where it listens. Its log is dropped.
+// startSidecar runs this binary as a sidecar with the given workers (comma-separated addresses) and number of descriptors, and
+// returns its listen address. Its log is discarded.
 func startSidecar(t testing.TB, workers string, sockets int) (c *exec.Cmd, addr string) {
 	return startSidecarWithLog(t, workers, sockets, io.Discard)
 }
 
-// startLogged is start with the sidecar's log. The race detector would else hold the exit of its process up by a second.
+// startSidecarWithLog is startSidecar with the log written to log. It turns off the race detector's sleep at exit, which would
+// delay the exit of the process by a second.
 func startSidecarWithLog(t testing.TB, workers string, sockets int, log io.Writer) (c *exec.Cmd, addr string) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	var instances []string
@@ -105,14 +106,14 @@
 	return c, line[:len(line)-1]
 }
 
-// demand is what all clients sent and got.
+// loadGenerator runs clients and counts the outcomes of their calls.
 type loadGenerator struct {
 	addr, class                                  string
 	ids, served, refused, timedOut, resent, lost atomic.Int64
-	lastLoss                                     atomic.Value // a loss
+	lastLoss                                     atomic.Value // error of a lost call
 }
 
-// client sends one call after another on a connection that it keeps for as long as the sidecar does.
+// runClient makes one call after another, reusing its connection while the sidecar keeps it open.
 func (d *loadGenerator) runClient() {
 	var conn net.Conn
 	var r *bufio.Reader
@@ -136,7 +137,7 @@
 			case err == nil:
 			case errors.Is(err, os.ErrDeadlineExceeded):
 				d.timedOut.Add(1)
-			case reused && !retried: // closed between two calls, as a sidecar may
+			case reused && !retried: // closed between two calls, which a sidecar may do
 				d.resent.Add(1)
 				continue
 			default:
@@ -151,7 +152,7 @@
 	}
 }
 
-// call makes one call; it tells whether the connection ends with it.
+// call makes one call and reports whether the response closes the connection.
 func (d *loadGenerator) call(conn net.Conn, r *bufio.Reader) (closes bool, err error) {
 	conn.SetDeadline(time.Now().Add(3 * time.Second))
 	fmt.Fprintf(conn, "GET /%s/x HTTP/1.1\r\nX-Trace-Id: %d\r\nX-Expires-In: 3000m\r\n\r\n", cmp.Or(d.class, "availability"), d.ids.Add(1))
@@ -171,7 +172,7 @@
 	return a.Close, nil
 }
 
-// answering is a worker that serves every call a little later.
+// delayedWorker starts a worker that serves every call after a short delay.
 func delayedWorker(t testing.TB) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/program/pipelined_deadline_test.go
+++ b/internal/program/pipelined_deadline_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A request that was sent behind an open one has the time that is left since its own last byte, and its backend is told no
-// more than that.
+// The time that a pipelined call waits behind an open one counts against its deadline, and the worker is told no more than
+// what is left.
 func TestDeadlineOfPipelinedCall(t *testing.T) {
 	t.Parallel()
 	deadlines := make(chan time.Duration, 2)
@@ -45,9 +45,9 @@
 	}
 	const whole = 2500 * time.Millisecond
 	if first := <-deadlines; first > whole {
-		t.Errorf("the first backend was told %v", first)
+		t.Errorf("the first worker was told %v", first)
 	}
 	if second := <-deadlines; second > whole-slowResponseTime+150*time.Millisecond {
-		t.Errorf("%v after its last byte the second backend was told %v of %v", slowResponseTime, second, whole)
+		t.Errorf("%v after its last byte the second worker was told %v of %v", slowResponseTime, second, whole)
 	}
 }
--- a/internal/program/random_deployment_test.go
+++ b/internal/program/random_deployment_test.go
@@ -20,18 +20,18 @@
 	"burlpass/internal/transport"
 )
 
-// drawnClass is a class of a drawn deployment.
+// randomClass is a call class of a random deployment.
 type randomClass struct {
 	name, effect, group string
 	window              time.Duration
 }
 
-// refusable tells whether a request of the class may be refused though an attempt of it may have run.
+// mayBeRefusedAfterRunning reports whether a call of the class may be refused although an attempt may have run.
 func (k *randomClass) mayBeRefusedAfterRunning() bool {
 	return k.effect == "safe" || k.effect == "keyed" && k.group == "all"
 }
 
-// drawn is a deployment whose settings come from a seed, with real backends that answer as the seed says.
+// randomDeployment is a deployment with random settings and real workers that answer or fail at random, all from one seed.
 type randomDeployment struct {
 	t            *testing.T
 	classes      []randomClass
@@ -41,17 +41,17 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	attempts map[string][]receivedAttempt // attempts that have come whole, by trace id
+	attempts map[string][]receivedAttempt // attempts received completely, by trace ID
 }
 
-// arrived is an attempt at a backend.
+// receivedAttempt is an attempt that reached a worker.
 type receivedAttempt struct {
 	zone, cell int
 	mayHaveRun bool
 }
 
-// Windows of a keyed class, chosen so that no test depends on how long things take: within the one every repeat in the
-// group is lawful, within the other none is, since a connection may take longer to come up.
+// Deduplication windows of a keyed class that make the tests independent of timing: within the wide one every repeat in the
+// group is allowed; within the narrow one none is, since connecting may take longer.
 const (
 	wideWindow           = time.Minute
 	narrowWindow         = 100 * time.Millisecond
@@ -76,7 +76,7 @@
 	return d
 }
 
-// config is the deployment's file in the platform's form.
+// config returns the deployment's configuration in the platform's JSON.
 func (d *randomDeployment) config(registry string, workers []string) string {
 	var classes, known []string
 	for _, k := range d.classes {
@@ -99,12 +99,12 @@
 		randomConnectTimeout.Microseconds(), (1+d.rng.IntN(20))*1_000_000, d.maxAttempts, d.secondCopies, d.rng.IntN(2) == 0, strings.Join(classes, ","))
 }
 
-// backend answers requests with their own id and body, or fails them as the seed says, and notes each one.
+// worker answers calls with their own ID and body or fails them, by the random numbers, and records each one.
 func (d *randomDeployment) worker(i int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Trace-Id")
 		body, err := io.ReadAll(r.Body)
-		if err != nil || id == "" { // never whole, or a probe
+		if err != nil || id == "" { // an incomplete request, or a probe
 			return
 		}
 		d.mu.Lock()
@@ -120,14 +120,14 @@
 		case chance < 45:
 			panic(http.ErrAbortHandler) // resets the connection
 		case chance < 48:
-			<-r.Context().Done() // hangs until it is given up
+			<-r.Context().Done() // hangs until the sidecar cancels the attempt
 		default:
 			fmt.Fprintf(w, "%s %s %s", id, r.URL.Path, body)
 		}
 	}
 }
 
-// client sends requests one after another, on one connection for as long as that lasts, and judges the answers.
+// runClient makes calls one after another, reusing its connection while it stays open, and checks the responses.
 func (d *randomDeployment) runClient(addr string, name int, rng *rand.Rand) {
 	var conn net.Conn
 	var r *bufio.Reader
@@ -162,7 +162,7 @@
 		}
 		got, err := io.ReadAll(answer.Body)
 		if want := id + " " + path + " " + body; err != nil || answer.StatusCode == 200 && string(got) != want {
-			d.t.Errorf("%s: %v, another answer than its own: %.80q", id, err, got)
+			d.t.Errorf("%s: %v, not its own response: %.80q", id, err, got)
 		}
 		d.checkAttempts(id, class, answer.StatusCode)
 		if answer.Close {
@@ -173,15 +173,16 @@
 	conn.Close()
 }
 
-// judge holds what the backends saw of a request against the rules. All of it has come: no attempt outlives the answer.
+// checkAttempts checks the attempts of an answered call against the rules. All of them have arrived, since no attempt outlives
+// the response.
 func (d *randomDeployment) checkAttempts(id string, class *randomClass, status int) {
 	d.mu.Lock()
 	attempts := d.attempts[id]
 	d.mu.Unlock()
-	firstMayHaveRun := -1 // the first that may have run
+	firstMayHaveRun := -1 // index of the first attempt that may have run
 	for i, attempt := range attempts {
 		if firstMayHaveRun >= 0 && !d.mayFollow(class, attempts[firstMayHaveRun], attempt) {
-			d.t.Errorf("%s of %+v: attempt %d has an effect twice: %+v", id, *class, i, attempts)
+			d.t.Errorf("%s of %+v: attempt %d repeats an effect: %+v", id, *class, i, attempts)
 		}
 		if firstMayHaveRun < 0 && attempt.mayHaveRun {
 			firstMayHaveRun = i
@@ -191,11 +192,11 @@
 		d.t.Errorf("%s of %+v: refused though it may have run: %+v", id, *class, attempts)
 	}
 	if len(attempts) > d.maxAttempts {
-		d.t.Errorf("%s: %d attempts, %d are allowed", id, len(attempts), d.maxAttempts)
+		d.t.Errorf("%s: %d attempts, at most %d allowed", id, len(attempts), d.maxAttempts)
 	}
 }
 
-// lawful tells whether an attempt may follow one that may have run.
+// mayFollow reports whether attempt next may follow attempt first, which may have run.
 func (d *randomDeployment) mayFollow(class *randomClass, first, next receivedAttempt) bool {
 	switch {
 	case class.effect == "safe":
@@ -210,8 +211,8 @@
 	return true
 }
 
-// Whole sidecars under drawn settings: nothing unsafe runs twice, a keyed request is repeated within its window and group
-// alone, refusals are lawful, and every client gets the answer to its own request.
+// Runs whole sidecars with random settings: no unsafe call runs twice, keyed calls are repeated only within their window and
+// group, only calls that may be refused are, and every client gets the response to its own call.
 func TestRandomDeployments(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { t.Parallel(); newRandomDeployment(t, seed).run(seed) })
@@ -226,9 +227,9 @@
 		t.Cleanup(s.Close)
 		workers = append(workers, s.Listener.Addr().String())
 	}
-	registry := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })) // no news
+	registry := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })) // never reports a change
 	t.Cleanup(registry.Close)
-	c := &Config{Path: "drawn.json", Listen: "127.0.0.1:0", Registry: registry.Listener.Addr().String()}
+	c := &Config{Path: "random.json", Listen: "127.0.0.1:0", Registry: registry.Listener.Addr().String()}
 	if _, err := c.parseJSON([]byte(d.config(c.Registry, workers))); err != nil {
 		t.Fatal(err)
 	}
@@ -250,6 +251,6 @@
 		repeatedCalls += min(len(attempts)-1, 1)
 	}
 	if d.maxAttempts > 1 && repeatedCalls == 0 {
-		t.Error("no request was sent twice: the rules were not put to the test")
+		t.Error("no call was attempted twice, so the rules were not tested")
 	}
 }
--- a/internal/program/rules_test.go
+++ b/internal/program/rules_test.go
@@ -77,7 +77,7 @@
 	const rule = `{"mode":"locked","callers":["app"]}`
 	write(&record.Write{ID: "1", By: "root", Changes: []record.Change{change(rules.TeamKind, "root", `{"now":{}}`),
 		change(rules.NamespaceKind, "*/*/*", `{"now":{"owner":"root"}}`), change(rules.RuleKind, "*/*/*#callers#r", `{"now":`+rule+`}`)}})
-	for call("web") == "200" { // until the rule is in force
+	for call("web") == "200" { // until the rule takes effect
 	}
 	if got := call("web") + ", " + call("app"); got != "429 1, 200" {
 		t.Error(got)
--- a/internal/program/scenario_peer_test.go
+++ b/internal/program/scenario_peer_test.go
@@ -9,10 +9,10 @@
 	"strconv"
 )
 
-// peer is one connection of the world around the sidecar.
+// peer is a connection of a client, worker or registry of a scenario to the sidecar.
 type peer struct {
 	net.Conn
-	messages chan string // messages read, in short form
+	messages chan string // messages read, in the short form of scripts
 	closed   chan struct{}
 }
 
@@ -39,12 +39,12 @@
 	}
 }
 
-// drawnWait is the wait of a watch call, which is drawn from the last fifth of 1.98 s.
+// randomWait matches the timeout of a watch request, a random time in the last fifth of 1.98 s.
 var randomWait = regexp.MustCompile(`timeout_ms=1(5[89]|[6-9]\d)\d$`)
 
-// Of a message that is longer than the sidecar holds, both also give its beginning, as soon as that is there.
+// For a message longer than the sidecar buffers, readRequest and readResponse also report its beginning as soon as it arrives.
 
-// readRequest gives "METHOD target id=X-Trace-Id key=Idempotency-Key body=BODY", the latter where present.
+// readRequest returns "METHOD target id=X-Trace-Id key=Idempotency-Key body=BODY", the last three where present.
 func readRequest(r *bufio.Reader, begins func(string)) (string, error) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return text, err
 }
 
-// readAnswer gives "STATUS after=Retry-After sunset=Sunset close BODY", the latter where present; a body that the sidecar
-// words itself is left out.
+// readResponse returns "STATUS after=Retry-After sunset=Sunset close BODY", all but the status where present. Bodies that the
+// sidecar generates are left out.
 func readResponse(r *bufio.Reader, begins func(string)) (string, error) {
 	response, err := http.ReadResponse(r, nil)
 	if err != nil {
--- a/internal/program/scenario_test.go
+++ b/internal/program/scenario_test.go
@@ -23,51 +23,57 @@
 	"burlpass/internal/transport"
 )
 
-// A scenario is a text of lines "WHO VERB WHAT", played against a whole sidecar on loopback sockets. The
-// verbs are send, expect, close, wait and serves. WHO is a client by any name, a worker's connection (w1, w2: named
-// by the first message expected on it), registry, next (the registry that a reload moves to), file (the
-// configuration's), sidecar or log. A quoted WHAT is sent as it is; the short
-// forms are in the functions below. What arrives is read by net/http, a parser that is not the project's.
+// A scenario is a script of lines "WHO VERB WHAT" that runs against a whole sidecar on loopback sockets. The verbs are send,
+// expect, close, wait, serves and together. WHO is one of:
+//   - any name: a client
+//   - w1, w2 and so on: a worker's connection, named by the first message expected on it
+//   - registry, or next: the registry that a reload switches to
+//   - file, folder, state: the configuration file, the state directory, and the maintenance file in it
+//   - operator: the admin listener
+//   - sidecar, log
+//
+// A quoted WHAT is sent verbatim; the functions below define the short forms. Incoming messages are parsed by net/http, which
+// is independent of this project's parser.
 
-// patience bounds a wait for something that never comes; no test depends on how long things take.
+// scenarioTimeout bounds the wait for something that never happens; no test depends on timing.
 const scenarioTimeout = 30 * time.Second
 
 type scenarioRun struct {
 	t            *testing.T
 	addr         string
-	configPath   string // of the configuration file
-	configText   string // a whole one that names the next registry
+	configPath   string
+	configText   string // a valid configuration that names the next registry
 	signals      chan os.Signal
 	exited       chan struct{}
 	peers        map[string]*peer
 	workers      []string
-	arrivals     map[byte]chan receivedMessage // by the first letter of who expects
+	arrivals     map[byte]chan receivedMessage // by the first letter of WHO
 	logLines     chan string
-	adminAddr    string      // the operators' door
-	stateDir     string      // the folder where what outlives the process is kept
-	adminReplies chan string // its answers, their lines joined by " | "
+	adminAddr    string
+	stateDir     string
+	adminReplies chan string // replies of the admin listener, with lines joined by " | "
 
 	mu           sync.Mutex
-	fixedReplies map[byte]string // what a server answers everything with, by its letter
+	fixedReplies map[byte]string // the response to every request to a server, by its letter
 }
 
-// scenario is what a test plays. The zero values give two workers, both listed up.
+// scenario is one test case. The zero values give two workers, both listed as up.
 type scenario struct {
-	known    string // entries of the first list, as registry send takes them
+	known    string // entries of the initial list, in the form of "registry send"
 	sockets  int
-	settings string // words OLD=>NEW put into the settings, as "discovery":"subscribe"=>"discovery":"automatic"
+	settings string // replacements OLD=>NEW, such as "discovery":"subscribe"=>"discovery":"automatic"
 	gate     func(call *protocol.Call) routing.Terms
 	script   string
 }
 
-// The settings of a deployment whose lists are pushed, and of one that allows second copies.
+// Settings of a deployment with pushed lists and of one that allows second copies, and the start of a script.
 const (
 	pushedLists       = `"subscribe"=>"automatic"`
 	allowSecondCopies = `"may_duplicate":false=>"may_duplicate":true "aim_us":600000=>"aim_us":3000000`
 
-	// Two calls are out at the only worker, another is listed, and the second call is copied to that one once both are
-	// overdue: one alone is no evidence against the worker, and a booking is not copied. w2 has its first copy, w3 the
-	// second.
+	// secondCopySent opens two calls at the only worker, lists another worker, and expects a second copy of the second
+	// call there once both calls are overdue. Two are needed since one late call is not enough evidence against a worker,
+	// and a booking is never copied. w2 has the first copy, w3 the second.
 	secondCopySent = `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			z send POST /booking/z id=t0 expires=6000m body=b
@@ -86,7 +92,7 @@
 	for i := range 2 {
 		st.workers = append(st.workers, st.listen('w', fmt.Sprintf(" at=%d", i)))
 	}
-	unusedListener, err := net.Listen("tcp", "127.0.0.1:0") // an address where nobody listens
+	unusedListener, err := net.Listen("tcp", "127.0.0.1:0") // gives an address that refuses connections
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +112,7 @@
 	for _, word := range strings.Fields(s.settings) {
 		old, replacement, _ := strings.Cut(word, "=>")
 		if strings.Count(jsonText, old) != 1 {
-			t.Fatalf("%s does not stand once in the settings", old)
+			t.Fatalf("%s does not occur exactly once in the settings", old)
 		}
 		jsonText = strings.Replace(jsonText, old, replacement, 1)
 	}
@@ -128,7 +134,7 @@
 	}
 	st.addr, st.adminAddr = sidecar.Addr().String(), sidecar.AdminAddr().String()
 	go func() { defer close(st.exited); sidecar.Run(st.signals) }()
-	defer func() { // a call that is still owed an answer would hold the exit up
+	defer func() { // closes the connections first, since an unanswered call would delay the exit
 		for _, p := range st.peers {
 			p.Close()
 		}
@@ -147,7 +153,7 @@
 	}
 }
 
-// Write takes the sidecar's log.
+// Write receives the sidecar's log, one line at a time.
 func (st *scenarioRun) Write(b []byte) (int, error) {
 	st.logLines <- string(b)
 	return len(b), nil
@@ -161,12 +167,12 @@
 		return st.expect(who, what)
 	case "close":
 		return st.peers[who].Close()
-	case "serves": // a registry answers every call from now on with this list, also those that wait
+	case "serves": // the registry answers every request from now on with this list, including open ones
 		st.mu.Lock()
 		st.fixedReplies[who[0]] = formatResponse("200 " + st.registryJSON(what))
 		st.mu.Unlock()
 		return nil
-	case "together": // lines at the door at once, each on its connection; their answers sorted, joined by " ; "
+	case "together": // concurrent commands to the admin listener; their replies are sorted and joined by " ; "
 		lines := strings.Split(what, " ; ")
 		errs := make(chan error, len(lines))
 		for _, line := range lines {
@@ -182,7 +188,7 @@
 		slices.Sort(answers)
 		st.adminReplies <- strings.Join(answers, " ; ")
 		return nil
-	case "wait": // for the other side's close, or the sidecar's exit
+	case "wait": // for the sidecar to close the connection, or to exit
 		if who == "sidecar" {
 			return waitFor(st.exited)
 		}
@@ -196,7 +202,7 @@
 	case <-c:
 		return nil
 	case <-time.After(scenarioTimeout):
-		return fmt.Errorf("it never came")
+		return fmt.Errorf("timed out")
 	}
 }
 
@@ -205,12 +211,12 @@
 	case "sidecar":
 		st.signals <- map[string]os.Signal{"TERM": syscall.SIGTERM, "HUP": syscall.SIGHUP}[what]
 		return nil
-	case "folder": // what outlives the process: no write to it succeeds while it is lost
+	case "folder": // the state directory: writes to it fail while it is lost
 		if what == "lost" {
 			return os.Rename(st.stateDir, st.stateDir+".lost")
 		}
 		return os.Rename(st.stateDir+".lost", st.stateDir)
-	case "operator": // one line at the door, and its whole answer
+	case "operator": // one command to the admin listener, and its whole reply
 		conn, err := net.Dial("tcp", st.adminAddr)
 		if err != nil {
 			return err
@@ -227,7 +233,7 @@
 		switch what {
 		case "next":
 			text = st.configText
-		case "asked": // the same, in another deployment's way
+		case "asked": // the same, with lists asked for instead of pushed
 			text = strings.Replace(st.configText, "automatic", "subscribe", 1)
 		}
 		return os.WriteFile(st.configPath, []byte(text), 0o600)
@@ -256,14 +262,14 @@
 	}
 	_, err = io.WriteString(p, raw)
 	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-		return nil // the other side has ended it; what a script expects of that stands in it
+		return nil // the sidecar closed it; the script checks that where it matters
 	}
 	return err
 }
 
 func (st *scenarioRun) expect(who, what string) error {
 	late := time.After(scenarioTimeout)
-	if who == "state" { // the file of the workers disabled by hand
+	if who == "state" { // the file of the workers that operators disabled
 		b, err := os.ReadFile(filepath.Join(st.stateDir, "burlpass-.maintenance"))
 		if err != nil {
 			return err
@@ -277,7 +283,7 @@
 				return nil
 			}
 		case <-late:
-			return fmt.Errorf("no such line")
+			return fmt.Errorf("no such log line")
 		}
 	}
 	var got string
@@ -293,7 +299,7 @@
 	case a := <-st.arrivals[who[0]]:
 		st.peers[who], got = a.peer, a.text
 	case <-late:
-		return fmt.Errorf("nothing came")
+		return fmt.Errorf("nothing arrived")
 	}
 	if !strings.Contains(what, " at=") {
 		got, _, _ = strings.Cut(got, " at=")
@@ -304,7 +310,7 @@
 	return nil
 }
 
-// listen plays a server whose requests go to whoever expects one under that letter.
+// listen starts a server whose requests go to the expect steps of the given letter.
 func (st *scenarioRun) listen(letter byte, mark string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/program/scenario_text_test.go
+++ b/internal/program/scenario_text_test.go
@@ -23,7 +23,7 @@
  {"name":"paid-extra","repeat":"keyed","group":"zone","dedup_window_us":12000000,"aim_us":1000000,
   "deadline_us":2500000,"importance":10.0,"late_worth":0.25}]}`
 
-// Long messages stand in a script as <N> or <N+FROM>: N bytes of a text that goes on without end, from a place in it.
+// fillerPattern matches the short form of a long body in a script, <N> or <N+FROM>: N bytes of an endless text from offset FROM.
 var fillerPattern = regexp.MustCompile(`<(\d+)(?:\+(\d+))?>`)
 
 func filler(n, from int) string {
@@ -43,7 +43,7 @@
 	})
 }
 
-// shorten is how a long body stands in a script.
+// abbreviateBody returns the short form of a body in a script.
 func abbreviateBody(b []byte) string {
 	switch {
 	case len(b) <= 1000:
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%d other bytes", len(b))
 }
 
-// request makes a client's request of "METHOD target name=value ...".
+// formatCall formats a client's request from "METHOD target name=value ...".
 func formatCall(what string) string {
 	words := strings.Fields(what)
 	class := strings.Split(words[1], "/")[1]
@@ -72,7 +72,7 @@
 	return head + "\r\n" + body
 }
 
-// answer makes a worker's answer of "STATUS BODY"; the body never-ran stands for the header.
+// formatResponse formats a worker's response from "STATUS BODY"; the body never-ran stands for the header X-Never-Ran.
 func formatResponse(what string) string {
 	status, body, _ := strings.Cut(what, " ")
 	extra := ""
@@ -82,12 +82,12 @@
 	return fmt.Sprintf("HTTP/1.1 %s OK\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
-// age is the one figure that no script can foretell.
+// listAgePattern matches the age of the list, the only statistic that a script cannot predict.
 var listAgePattern = regexp.MustCompile(`"list_age_ms":\d+`)
 
 var listEntryPattern = regexp.MustCompile(`(\d)=(\w+)(?:@(\S+))?`)
 
-// list makes the registry's JSON of "GENERATION [reset] WORKER=LIFECYCLE[@ZONE] ...".
+// registryJSON formats the registry's JSON from "GENERATION [reset] WORKER=LIFECYCLE[@ZONE] ...".
 func (st *scenarioRun) registryJSON(what string) string {
 	items := []string{}
 	for _, m := range listEntryPattern.FindAllStringSubmatch(what, -1) {
--- a/internal/program/sidecar_test.go
+++ b/internal/program/sidecar_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Each scenario says what the code guards against.
+// Scenarios for a whole sidecar; each comment names the failure that the scenario guards against.
 func TestSidecar(t *testing.T) {
 	long := strings.Repeat("x", 70_000)
 	for name, s := range map[string]scenario{
-		// What names a call to the worker, and the worker's own body, must not change on the way.
+		// The target, the headers that identify a call, and the bodies must not change on the way.
 		"passes unchanged": {script: `
 			a send POST /paid-extra/q%20x?sid=1&b=%2F id=t1 key=k9 expires=2000m body=one,two
 			w1 expect POST /paid-extra/q%20x?sid=1&b=%2F id=t1 key=k9 body=one,two
@@ -19,8 +19,8 @@
 			w1 expect GET /availability/b id=t2
 			w1 send "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n"
 			a expect 200 abcde`},
-		// A booking that may have run goes out again nowhere and is not called harmless to repeat; the next
-		// call being the next arrival shows that no copy came between.
+		// A booking that may have run is not attempted again, and the client is not told that a retry is safe. That the next
+		// attempt belongs to the next call shows that no copy was sent.
 		"an unsafe call is not repeated": {script: `
 			a send POST /booking/x id=t1 expires=2000m body=b
 			w1 expect POST /booking/x id=t1 body=b
@@ -30,7 +30,7 @@
 			w2 expect GET /availability/x id=t2
 			w2 send 200 ok
 			a expect 200 ok`},
-		// A safe call survives a worker's death while it is out.
+		// A safe call survives the failure of its worker.
 		"a safe call is repeated": {script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
@@ -38,12 +38,12 @@
 			w2 expect GET /availability/x id=t1
 			w2 send 200 ok
 			a expect 200 ok`},
-		// Refused connections prove that nothing ran: even a booking may be refused, never failed.
+		// Refused connections prove that nothing ran, so even a booking is refused rather than failed.
 		"no connection": {known: "2=up", script: `
 			a send POST /booking/x id=t1 expires=100m body=b
 			a expect 503 after=1.5`},
-		// Only the header makes a worker's 503 a proof that the call never ran.
-		"turned away": {known: "0=up", script: `
+		// A worker's 503 proves that the call never ran only with the header X-Never-Ran.
+		"worker reports that the call never ran": {known: "0=up", script: `
 			a send POST /booking/x id=t1 expires=100m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			w1 send 503 never-ran
@@ -53,21 +53,21 @@
 			w1 expect POST /booking/x id=t1 body=b
 			w1 send 503 busy
 			a expect 502`},
-		// Garbage from a worker is a failure after the call went out.
+		// A malformed response is a failure after the call was sent.
 		"malformed answer": {known: "0=up", script: `
 			a send POST /booking/x id=t1 expires=2000m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"
 			a expect 502
 			w1 wait`},
-		// A silent worker must not cost the answer; its connection is never used again.
-		"time runs out": {known: "0=up", script: `
+		// A call to a silent worker still gets a response; the worker's connection is never reused.
+		"deadline passes": {known: "0=up", script: `
 			a send POST /booking/x id=t1 expires=100m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			a expect 504
 			w1 wait`},
-		// The client is gone: its attempt is called off, and others are served on.
-		"client leaves": {known: "0=up", script: `
+		// When the client disconnects, its attempt is cancelled, and other clients are still served.
+		"client disconnects": {known: "0=up", script: `
 			a send GET /availability/x id=t1 expires=3000m
 			w1 expect GET /availability/x id=t1
 			a close
@@ -76,7 +76,7 @@
 			w2 expect GET /availability/y id=t2
 			w2 send 200 ok
 			b expect 200 ok`},
-		// A connection that its worker has closed is not written to.
+		// Nothing is written to a connection that the worker has closed.
 		"worker closes an idle connection": {known: "0=up", script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
@@ -87,7 +87,7 @@
 			w2 expect POST /booking/x id=t2 body=b
 			w2 send 200 ok
 			a expect 200 ok`},
-		// Nothing new reaches a worker after its drain is told; the watch goes on by itself.
+		// No new call reaches a worker once it is listed as draining; the watch continues by itself.
 		"drain": {script: `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			registry send 2 0=draining
@@ -102,7 +102,7 @@
 			w1 expect GET /availability/x id=t2 at=0
 			w1 send 200 ok
 			a expect 200 ok`},
-		// Bad data leaves the old list in force, and the watch is taken up again.
+		// Bad data leaves the old list in force, and the watch resumes.
 		"bad registry data": {known: "0=up", script: `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			registry send "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{\"x\":"
@@ -112,8 +112,8 @@
 			w1 send 200 ok
 			a expect 200 ok
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM`},
-		// A reload moves to the registry that the file names now, whole list first and whatever its count; the
-		// old one's end is no failure, which a later watch than the first would show.
+		// A reload switches to the registry that the file names now and fetches the whole list first, whatever its generation.
+		// Closing the old registry's watch is not counted as a failure, which would delay the first watch.
 		"reload": {script: `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			file send next
@@ -140,7 +140,7 @@
 			registry expect GET /catalog/members?since=2&timeout_ms=RANDOM
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1 at=1`},
-		// A reload that meets the stop ends neither early nor never.
+		// A reload while stopping neither shortens nor blocks the stop.
 		"reload while stopping": {known: "0=up", script: `
 			a send GET /availability/x id=t1 expires=3000m
 			w1 expect GET /availability/x id=t1
@@ -152,7 +152,7 @@
 			w1 send 200 one
 			a expect 200 close one
 			sidecar wait exit`},
-		// Taken calls are finished after the signal, and clients are steered away between calls.
+		// Accepted calls are finished after the signal, and clients are told to reconnect elsewhere between calls.
 		"planned stop": {known: "0=up", script: `
 			a send GET /availability/x id=t1 expires=3000m
 			w1 expect GET /availability/x id=t1
@@ -168,7 +168,7 @@
 			w1 send 200 one
 			a expect 200 close one
 			sidecar wait exit`},
-		// Drained by the operators: a connection at rest is closed, health says no, the process stays; and back.
+		// An operator's DRAIN closes idle connections and fails health checks, and the process keeps running; UNDRAIN reverts it.
 		"drained by the operators": {script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
@@ -185,9 +185,9 @@
 			operator expect ACK serving
 			c send "GET /_health HTTP/1.1\r\n\r\n"
 			c expect 200 ok`},
-		// A disabled worker is left out whatever the registry says, and used again after ENABLE; the figures count
-		// the calls by class and the attempts written.
-		"disabled by hand": {known: "0=up", script: `
+		// A disabled worker gets no calls whatever the registry says, and gets them again after ENABLE; the statistics count
+		// calls by class and attempts written.
+		"worker disabled by operator": {known: "0=up", script: `
 			operator send DISABLE s-7
 			operator expect NAK no such worker has been listed: "s-7"
 			operator send DISABLE s-0
@@ -204,8 +204,8 @@
 			b expect 200 ok
 			operator send STATS
 			operator expect {"success":{"availability":1,"booking":0,"paid-extra":0},"busy":{"availability":0,"booking":0,"paid-extra":0},"failure":{"availability":0,"booking":0,"paid-extra":0},"backend_calls":1,"inflight":0,"hosts_listed":1,"hosts_down":0,"list_age_ms":T} | --`},
-		// Commands that come at once are all kept for the next process: none overwrites another's.
-		"disabled at once": {script: `
+		// Concurrent commands are all persisted: none overwrites another's change.
+		"concurrent disable commands": {script: `
 			operator together DISABLE s-0 ; DISABLE s-1
 			operator expect ACK disabled s-0 ; ACK disabled s-1
 			state expect {"kind":"burlpass maintenance 1","out":["s-0","s-1"]}`},
@@ -217,8 +217,8 @@
 			a expect 503
 			a send GET /availability/x id=t1 expires=100m
 			a expect 503 after=1.5`},
-		// At the bound of client connections a call is refused, not lost and not left waiting.
-		"crowded": {known: "0=up", sockets: 16, script: `
+		// At the limit of client connections, a call is refused instead of lost or left waiting.
+		"connection limit reached": {known: "0=up", sockets: 16, script: `
 			a send GET /availability/a id=a expires=3000m
 			w1 expect GET /availability/a id=a
 			b send GET /availability/b id=b expires=3000m
@@ -238,8 +238,8 @@
 			h wait
 			w1 send 200 ok
 			a expect 200 close ok`},
-		// Idle clients hold all that is theirs, and discovery answers nothing: operators, a new client and its attempt come through.
-		"idle clients while discovery is silent": {known: "0=up", sockets: 16, script: `
+		// Idle clients use all client connections and the registry is silent: operators and a new client's call still get through.
+		"idle clients while the registry is silent": {known: "0=up", sockets: 16, script: `
 			registry expect GET /catalog/members?since=1&timeout_ms=RANDOM
 			a send ""
 			b send ""
@@ -255,8 +255,8 @@
 			w1 expect GET /availability/i id=i
 			w1 send 200 ok
 			i expect 200 ok`},
-		// Clients that ask once and stay must not fill the bound: near it, an answer ends its connection.
-		"a client that had better not stay": {known: "0=up", sockets: 16, script: `
+		// Clients that make one call and stay connected must not exhaust the limit: near it, each response closes its connection.
+		"close near the connection limit": {known: "0=up", sockets: 16, script: `
 			a send GET /availability/a id=a expires=3000m
 			w1 expect GET /availability/a id=a
 			b send GET /availability/b id=b expires=3000m
@@ -274,11 +274,11 @@
 			w6 send 200 ok
 			f expect 200 close ok
 			f wait`},
-		// Who says nothing, or half of something, holds no connection.
+		// A client that sends nothing, or half a request, does not keep its connection.
 		"silent client": {script: `
 			a send ""
 			a wait`},
-		"half a call": {script: `
+		"incomplete call": {script: `
 			a send "GET /availability/x HTTP/1.1\r\n"
 			a expect 408 close
 			a wait`},
@@ -292,8 +292,8 @@
 			a expect 100
 			a send "ab"
 			w1 expect POST /booking/x id=t1 body=ab`},
-		// A call that cannot be placed gets an answer, and the connection goes on: its framing is known.
-		"defined failures": {script: `
+		// An invalid call gets a response and the connection stays open, as long as its framing is known.
+		"invalid calls": {script: `
 			a send GET /nothing/x id=t1 expires=2000m
 			a expect 400
 			a send GET /availability/x id=t2
@@ -304,8 +304,8 @@
 			a expect 400
 			a send "HEAD /availability/x HTTP/1.1\r\n\r\n"
 			a expect 400 close`},
-		// An id that is out already, or was just now, is another client's call: no second copy of it may go out.
-		"the id of another call": {known: "0=up", script: `
+		// A call whose ID is in use, or was until just now, counts as a duplicate: no second copy of it may be sent.
+		"duplicate id": {known: "0=up", script: `
 			a send POST /booking/x id=t1 expires=3000m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			b send POST /booking/x id=t1 expires=3000m body=b
@@ -316,13 +316,13 @@
 			b expect 409
 			b send POST /booking/x id=t2 expires=3000m body=b
 			w1 expect POST /booking/x id=t2 body=b`},
-		// What sidecar and worker could read differently decides whether a call may be repeated.
-		"two readings": {script: `
+		// Headers that sidecar and worker could interpret differently are rejected, since they decide whether a call may be repeated.
+		"ambiguous headers": {script: `
 			a send POST /booking/x id=t1 id=t2 expires=3000m
 			a expect 400
 			a send "POST /booking/x HTTP/1.1\r\nX-Qos: availability\r\nX-Trace-Id: t3\r\nX-Expires-In: 1m\r\n\r\n"
 			a expect 400`},
-		// Two answers to where a message ends let a second one hide in it.
+		// Ambiguous message lengths would allow request smuggling.
 		"both lengths": {script: `
 			a send "POST /booking/x HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 			a expect 400 close
@@ -335,7 +335,7 @@
 			a send "GET /availability/x HTTP/1.1\r\nno colon\r\n\r\n"
 			a expect 400 close
 			a wait`},
-		// Bounds on what one connection can make the sidecar hold.
+		// Limits on what one connection can make the sidecar buffer.
 		"head too large": {script: `
 			a send "GET /availability/x HTTP/1.1\r\nX: ` + long + `\r\n\r\n"
 			a expect 431 close
--- a/internal/program/stalled_client_test.go
+++ b/internal/program/stalled_client_test.go
@@ -16,19 +16,20 @@
 	"time"
 )
 
-// owedWithin is what a client that stops in the middle of a request is owed: an error or a close, counted from its last byte.
+// stalledClientLimit is the time, counted from its last byte, within which a client that stops in the middle of a request must
+// get an error or a close.
 const stalledClientLimit = 3 * time.Second
 
-// giveUp bounds a wait for what never comes.
+// waitLimit bounds the wait for something that never happens.
 const waitLimit = 12 * time.Second
 
-// wholeRequest is the request within which clients stop.
+// bookingTemplate is the request in which clients stop.
 const bookingTemplate = "POST /booking/x HTTP/1.1\r\nX-Trace-Id: %s\r\nX-Qos: booking\r\nX-Expires-In: 2500m\r\nContent-Length: 20\r\n\r\n01234567890123456789"
 
-// openFor is how long the request is open behind which clients stop.
+// slowResponseTime is how long a call to a /slow path stays open.
 const slowResponseTime = 1500 * time.Millisecond
 
-// slowBackend answers /slow paths after openFor, and all else at once.
+// slowPathWorker answers /slow paths after slowResponseTime, and others immediately.
 func slowPathWorker(t *testing.T) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -41,14 +42,14 @@
 	return s.Listener.Addr().String()
 }
 
-// stopping is a client that stops in the middle of a request.
+// stalledClient is a client that stops in the middle of a request.
 type stalledClient struct {
-	first     string // a whole request that is answered first
-	pipelined string // a whole request sent right before the part, whose answer comes first
-	partial   string // what is sent of the request before the client stops
+	first     string // a whole request that is answered before the others are sent
+	pipelined string // a whole request sent together with the partial one
+	partial   string // the part of the last request that is sent
 }
 
-// play returns how long after its last byte the client got the first byte of an error, or the end.
+// run returns how long after its last byte the client got an error's first byte or a close.
 func (s stalledClient) run(addr string) (time.Duration, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -60,7 +61,7 @@
 	if s.first != "" {
 		io.WriteString(conn, s.first)
 		if err := skipResponse(r); err != nil {
-			return 0, fmt.Errorf("the request before: %w", err)
+			return 0, fmt.Errorf("the first request: %w", err)
 		}
 	}
 	if _, err := io.WriteString(conn, s.pipelined+s.partial); err != nil {
@@ -69,7 +70,7 @@
 	stopped := time.Now()
 	if s.pipelined != "" {
 		if err := skipResponse(r); err != nil {
-			return 0, fmt.Errorf("the open request: %w", err)
+			return 0, fmt.Errorf("the pipelined request: %w", err)
 		}
 	}
 	_, err = r.ReadByte()
@@ -87,7 +88,7 @@
 	return err
 }
 
-// playAll plays all clients at once and reports the worst of those that were not ended in time.
+// checkStalledClients runs all clients concurrently and reports how many were not ended in time, and the worst of them.
 func checkStalledClients(t *testing.T, addr string, clients []stalledClient) {
 	t.Helper()
 	var (
@@ -112,7 +113,7 @@
 	}
 	all.Wait()
 	if late > 0 {
-		t.Errorf("%d of %d clients ended too late, the last after %v (%s)", late, len(clients), worst.Round(time.Millisecond), worstDetail)
+		t.Errorf("%d of %d clients ended too late, the worst after %v (%s)", late, len(clients), worst.Round(time.Millisecond), worstDetail)
 	}
 }
 
@@ -121,7 +122,7 @@
 	n int
 }
 
-// freshTrace returns an id that no request has had.
+// newTraceID returns an ID that no call has used.
 func newTraceID() string {
 	traceCounter.Lock()
 	defer traceCounter.Unlock()
@@ -129,10 +130,10 @@
 	return fmt.Sprintf("stopped-%06d", traceCounter.n)
 }
 
-// booking is a whole request with an id of its own.
+// bookingCall returns a whole request with a new ID.
 func bookingCall() string { return fmt.Sprintf(bookingTemplate, newTraceID()) }
 
-// A client that stops at any byte of a request and stays is owed an error or a close within owedWithin.
+// A client that stops at any byte of a request but stays connected gets an error or a close within stalledClientLimit.
 func TestStalledClients(t *testing.T) {
 	slow := func() string { return strings.Replace(bookingCall(), "/booking/x", "/booking/slow", 1) }
 	none := func() string { return "" }
@@ -163,7 +164,7 @@
 			{partial: long + strings.Repeat("x", 30<<10)}, {partial: strings.TrimSuffix(expectContinue, "01234567890123456789")},
 		})
 	})
-	t.Run("hundreds beyond the bound of connections", func(t *testing.T) {
+	t.Run("hundreds beyond the connection limit", func(t *testing.T) {
 		t.Parallel()
 		_, addr := startSidecar(t, slowPathWorker(t), 1024)
 		clients := make([]stalledClient, 700)
@@ -175,10 +176,10 @@
 		go func() { served <- sendWholeCalls(addr) }()
 		checkStalledClients(t, addr, clients)
 		if err := <-served; err != nil {
-			t.Errorf("a whole request beside them: %v", err)
+			t.Errorf("a whole call beside them: %v", err)
 		}
 	})
-	t.Run("a long body to a backend that does not read", func(t *testing.T) {
+	t.Run("a long body to a worker that does not read", func(t *testing.T) {
 		t.Parallel()
 		_, addr := startSidecar(t, nonReadingWorker(t), 1024)
 		request := strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 16777216", 1)
@@ -186,7 +187,7 @@
 	})
 }
 
-// wholeBeside sends whole requests while others stop, each on a connection of its own; each has to have its answer in time.
+// sendWholeCalls makes calls, each on its own connection, while other clients stall; each must be answered in time.
 func sendWholeCalls(addr string) error {
 	for range 10 {
 		start := time.Now()
@@ -205,10 +206,10 @@
 	return nil
 }
 
-// deafBackend accepts connections and reads nothing.
+// nonReadingWorker accepts connections and reads nothing.
 func nonReadingWorker(t *testing.T) string { return scriptedWorker(t, func(net.Conn) {}) }
 
-// scriptedBackend accepts connections, shows each to serve, and closes them when the test is over.
+// scriptedWorker accepts connections, passes each to serve, and closes them when the test ends.
 func scriptedWorker(t *testing.T, serve func(net.Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -228,7 +229,7 @@
 	return ln.Addr().String()
 }
 
-// beginningBackend begins a long answer of which it sends n bytes, and stops.
+// partialResponseWorker sends n bytes of a long response and stops.
 func partialResponseWorker(t *testing.T, n int) string {
 	ended := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -241,7 +242,7 @@
 	return s.Listener.Addr().String()
 }
 
-// A client whose backend stops within an answer that has begun sees the broken end in its time, and half a second.
+// If a worker stalls in the middle of a response, the client's connection is cut within its deadline plus half a second.
 func TestWorkerStallsWithinResponse(t *testing.T) {
 	t.Parallel()
 	_, addr := startSidecar(t, partialResponseWorker(t, 100<<10), 256)
@@ -254,25 +255,25 @@
 	conn.SetDeadline(start.Add(waitLimit))
 	io.WriteString(conn, strings.Replace(bookingCall(), "2500m", "1000m", 1))
 	if err := skipResponse(bufio.NewReader(conn)); err == nil {
-		t.Error("an answer that was not whole looks whole")
+		t.Error("an incomplete response looks complete")
 	}
 	if took := time.Since(start); took > stalledClientLimit {
-		t.Errorf("the broken end came after %v", took)
+		t.Errorf("the connection was cut after %v", took)
 	}
 }
 
-// After SIGTERM the process may be killed once the longest deadline, 3 s at most, and 0.7 s are over: whatever its clients
-// and backends do, it has ended by then.
+// The platform may kill the process 0.7 s plus the longest deadline (3 s at most) after SIGTERM. The process must exit by then,
+// whatever its clients and workers do.
 func TestExitInTime(t *testing.T) {
-	const bound = 3700 * time.Millisecond // the settings' longest deadline is 3 s
+	const bound = 3700 * time.Millisecond // 0.7 s plus the settings' longest deadline, 3 s
 	for name, kind := range map[string]struct {
 		worker func(t *testing.T) string
 		send   string
 	}{
-		"a client that does not read a long answer": {largeResponseWorker, bookingCall()},
-		"a backend that stops within an answer":     {func(t *testing.T) string { return partialResponseWorker(t, 100<<10) }, bookingCall()},
-		"a backend that takes no body":              {nonReadingWorker, strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 16777216", 1) + strings.Repeat("x", 300<<10)},
-		"a time beyond the longest deadline":        {nonReadingWorker, strings.Replace(bookingCall(), "2500m", "60000m", 1)},
+		"a client that does not read a long response": {largeResponseWorker, bookingCall()},
+		"a worker that stalls within a response":      {func(t *testing.T) string { return partialResponseWorker(t, 100<<10) }, bookingCall()},
+		"a worker that reads no body":                 {nonReadingWorker, strings.Replace(bookingCall(), "Content-Length: 20", "Content-Length: 16777216", 1) + strings.Repeat("x", 300<<10)},
+		"a deadline beyond the longest":               {nonReadingWorker, strings.Replace(bookingCall(), "2500m", "60000m", 1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -304,7 +305,7 @@
 	}
 }
 
-// endlessBackend answers with 16 MiB.
+// largeResponseWorker answers with 16 MiB.
 func largeResponseWorker(t *testing.T) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "16777216")
@@ -314,7 +315,7 @@
 	return s.Listener.Addr().String()
 }
 
-// untilOpen returns once the sidecar has answered two requests for its health, each behind all that was sent before.
+// waitUntilReceived makes two health checks in a row. Once both are answered, the sidecar has received what was sent before.
 func waitUntilReceived(t *testing.T, addr string) {
 	t.Helper()
 	for range 2 {
--- a/internal/program/state_dir_test.go
+++ b/internal/program/state_dir_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What cannot be kept for the next process is refused and changes nothing; once the folder takes writes again, so do the
-// orders. What was acknowledged before is still owed.
+// A maintenance order that cannot be persisted for the next process is refused and changes nothing. Orders succeed again once
+// the state directory is writable, and orders acknowledged before stay in effect.
 func TestUnwritableStateDir(t *testing.T) {
 	playScenario(t, scenario{script: `
 		operator send DISABLE s-1
--- a/internal/program/streaming_test.go
+++ b/internal/program/streaming_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Messages longer than the sidecar holds pass as they come, in both directions.
+// Messages longer than the sidecar buffers are streamed in both directions.
 func TestStreamedBodies(t *testing.T) {
 	const (
 		post          = `POST /booking/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t1\r\nX-Expires-In: 3000m\r\n`
@@ -23,8 +23,8 @@
 			w1 expect GET /availability/x id=t1`
 	)
 	for name, s := range map[string]scenario{
-		// The client has its first bytes while the worker still sends; the same connections serve the next call.
-		"answer": {script: get + `
+		// The client gets the first bytes while the worker still sends; the same connections serve the next call.
+		"response": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n<10>"
 			a expect begins 200
 			w1 send "<299990+10>"
@@ -33,7 +33,7 @@
 			w1 expect GET /availability/x id=t2
 			w1 send 200 ok
 			a expect 200 ok`},
-		"answer in chunks": {script: get + `
+		"response in chunks": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4e20;x=y\r\n<20000>\r\n"
 			a expect begins 200
 			w1 send "1"
@@ -44,19 +44,19 @@
 			w1 expect GET /availability/x id=t2
 			w1 send 200 ok
 			a expect 200 ok`},
-		// The end of the connection is the end of an answer that says so.
-		"answer up to the connection's end": {script: get + `
+		// The response body is delimited by the close of the connection.
+		"response delimited by close": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n<40000>"
 			a expect begins 200
 			w1 send "<30000+40000>"
 			w1 close
 			a expect 200 <70000>` + nextCallSucceeds},
-		"short answer up to the connection's end": {script: get + `
+		"short response delimited by close": {script: get + `
 			w1 send "HTTP/1.0 200 OK\r\n\r\nshort"
 			w1 close
 			a expect 200 short`},
-		// Whoever began to pass an answer on cannot take it back: the client sees that it is not whole.
-		"answer breaks off": {script: get + `
+		// A response that was partly passed on cannot be withdrawn: the client sees that it is incomplete.
+		"response breaks off": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n<100000>"
 			a expect begins 200
 			w1 close
@@ -65,13 +65,13 @@
 			w1 send "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4e20\r\n<20000>\r\nzz\r\n"
 			a expect begins 200
 			a wait` + nextCallSucceeds},
-		"client leaves amid an answer": {script: get + `
+		"client disconnects amid a response": {script: get + `
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n<100000>"
 			a expect begins 200
 			a close
 			w1 send "<1000000>"
 			w1 wait` + nextCallSucceeds},
-		// The worker has the beginning while the client still sends.
+		// The worker gets the beginning while the client still sends.
 		"body": {script: partialUpload + `
 			a send "<80000+20000>"
 			w1 expect POST /booking/x id=t1 body=<100000>
@@ -89,40 +89,40 @@
 			w1 expect POST /booking/x id=t1 body=70003 other bytes
 			w1 send 200 ok
 			a expect 200 ok`},
-		// A chunked body that ends with the last byte that is held is whole.
-		"chunks up to the bound": {script: `
+		// A chunked body that exactly fills the buffer is complete.
+		"chunks that fill the buffer": {script: `
 			a send "` + post + `Transfer-Encoding: chunked\r\n\r\n10000\r\n<65536>\r\n0\r\n\r\n"
 			w1 expect POST /booking/x id=t1 body=<65536>
 			w1 send 200 ok
 			a expect 200 ok`},
-		// What has been passed on is held nowhere: nobody else gets the call. It never ran, so the client may try again.
+		// The part that was passed on is not buffered, so no other worker can get the call. It never ran, so the client may retry.
 		"worker dies amid a body": {script: partialUpload + `
 			w1 close
 			a send "<80000+20000>"
 			a expect 503 close` + nextCallSucceeds},
-		"worker turns a body away": {script: partialUpload + `
+		"worker refuses a call amid its body": {script: partialUpload + `
 			w1 send "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 			a send "<40000+20000>"
 			a send "<40000+60000>"
 			a expect 503 close` + nextCallSucceeds},
-		// After the last byte it may have run, and a booking is not tried again.
+		// After the last byte the booking may have run, so it is not attempted again.
 		"worker dies after a body": {script: partialUpload + `
 			a send "<80000+20000>"
 			w1 expect POST /booking/x id=t1 body=<100000>
 			w1 close
 			a expect 502` + nextCallSucceeds},
-		"client leaves at the last byte": {script: partialUpload + `
+		"client disconnects at the last byte": {script: partialUpload + `
 			a send "<79999+20000>"
 			a close
 			w1 wait` + nextCallSucceeds},
 		"client stalls": {script: strings.Replace(partialUpload, "3000m", "9000m", 1) + `
 			a expect 408 close
 			w1 wait` + nextCallSucceeds},
-		// What comes unseen behind a worker that takes nothing may be the last byte: the client's time is over then.
-		"client stalls for all its time": {script: strings.Replace(partialUpload, "3000m", "500m", 1) + `
+		// A stalled upload ends no later than the client's deadline, since the client's last byte could be waiting unread.
+		"client stalls until its deadline": {script: strings.Replace(partialUpload, "3000m", "500m", 1) + `
 			a expect 503 close
 			w1 wait` + nextCallSucceeds},
-		"planned end amid a body": {script: partialUpload + `
+		"planned stop amid a body": {script: partialUpload + `
 			sidecar send TERM
 			log expect event=drain
 			a send "<80000+20000>"
@@ -140,7 +140,7 @@
 			w1 expect POST /booking/x id=t1 body=<100000>
 			w1 send 200 ok
 			a expect 200 ok`},
-		// A body of 32 MiB and an answer of the same length.
+		// A body of 32 MiB and a response of the same length.
 		"largest": {script: `
 			a send "` + strings.Replace(post, "3000m", "60000m", 1) + `Content-Length: 33554432\r\n\r\n<33554432>"
 			w1 expect begins POST /booking/x
--- a/internal/program/syscall_failure_test.go
+++ b/internal/program/syscall_failure_test.go
@@ -20,19 +20,20 @@
 )
 
 const (
-	syscallFailureRate  = 0.1 // of the calls of a kind
+	syscallFailureRate  = 0.1 // of the system calls of one kind
 	failureTestClients  = 4
-	failureTestCalls    = 30 // of each client
-	failureTestResponse = "the whole answer of the backend"
+	failureTestCalls    = 30 // per client
+	failureTestResponse = "the whole response of the worker"
 )
 
-// counted are two backends that count how often they were sent each request, by its id.
+// countingWorkers starts two workers that count the attempts of each call by its ID. mostAttempts returns the call with the
+// most attempts.
 func countingWorkers(t *testing.T) (addrs string, mostAttempts func() (id string, times int)) {
 	var mu sync.Mutex
 	times := map[string]int{}
 	serve := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return // a part of a request never ran
+			return // an incomplete request never ran
 		}
 		mu.Lock()
 		if id := r.Header.Get("X-Trace-Id"); id != "" {
@@ -56,7 +57,7 @@
 	}
 }
 
-// oneAnswer sends a request on a connection of its own, and checks that one whole and final answer comes, and then the end.
+// callOnce makes a call on a new connection and checks that exactly one whole response arrives before the connection closes.
 func callOnce(addr, call string) (status int, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -80,13 +81,13 @@
 		return 0, fmt.Errorf("200 with %q", body)
 	}
 	if more, _ := io.ReadAll(r); len(more) > 0 {
-		return 0, fmt.Errorf("%q behind the answer", more)
+		return 0, fmt.Errorf("%q after the response", more)
 	}
 	return a.StatusCode, nil
 }
 
-// While a tenth of the system calls of a kind fail, every request gets its one answer, and none that may have run goes out again.
-// The requests are of a class that must not be repeated.
+// While a tenth of the system calls of one kind fail, every call gets exactly one response, and no call that may have run is
+// sent again. The calls are of a class that must not be repeated.
 func TestFailingSystemCalls(t *testing.T) {
 	allowedStatus := map[int]bool{http.StatusOK: true, http.StatusBadGateway: true, http.StatusServiceUnavailable: true, http.StatusGatewayTimeout: true}
 	for _, kind := range faultnet.Kinds() {
@@ -121,12 +122,12 @@
 				t.Errorf("an invariant was broken: %v\n%s", err, text)
 			}
 			if id, times := mostAttempts(); times > 1 {
-				t.Errorf("the backends were sent %s %d times", id, times)
+				t.Errorf("the workers received %s %d times", id, times)
 			}
 			if answers[http.StatusOK] == 0 {
 				t.Error("nothing was served")
 			}
-			// Neither has anything to do with what a request may get.
+			// Failures of these kinds must not affect any call.
 			if kind == faultnet.Accept || kind == faultnet.ShortRead {
 				if served := answers[http.StatusOK]; served != failureTestClients*failureTestCalls {
 					t.Errorf("%d of %d were served", served, failureTestClients*failureTestCalls)
