--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -30,7 +30,11 @@
 	if s.member == nil {
 		return
 	}
-	handler.orders = orders.New(orders.Config{Member: s.member, By: s.config.Cluster.Member + "/door", Start: start, Log: s.log,
+	handler.orders = orders.New(orders.Config{
+		Member: s.member,
+		By:     s.config.Cluster.Member + "/door",
+		Start:  start,
+		Log:    s.log,
 		Apply: func(set maintenance.Set) {
 			handler.applyClusterSet(set)
 			s.log.Info("maintenance", "out", set.IDs(), "halls", set.Halls())
@@ -79,9 +83,9 @@
 }
 
 // openMember opens the cluster member that the configuration describes, or returns nil if it has none.
-func openMember(config *Config, logger *slog.Logger) (clusterMember, error) {
-	if config.Cluster == nil {
+func openMember(cfg *Config, logger *slog.Logger) (clusterMember, error) {
+	if cfg.Cluster == nil {
 		return nil, nil
 	}
-	return openCluster(config.Cluster, logger)
+	return openCluster(cfg.Cluster, logger)
 }
--- a/internal/program/cluster_open.go
+++ b/internal/program/cluster_open.go
@@ -15,8 +15,16 @@
 // openCluster opens this process's member of the configured cluster.
 func openCluster(c *ClusterConfig, logger *slog.Logger) (clusterMember, error) {
 	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit then fails the write instead of killing the process
-	m, err := cluster.Open(context.Background(), cluster.Config{Name: c.Name, Member: c.Member, Listen: c.Listen, Folder: c.Folder,
-		Voters: clusterPeers(c.Voters), Follow: clusterPeers(c.Follow), Rules: c.Rules, Log: logger})
+	m, err := cluster.Open(context.Background(), cluster.Config{
+		Name:   c.Name,
+		Member: c.Member,
+		Listen: c.Listen,
+		Folder: c.Folder,
+		Voters: clusterPeers(c.Voters),
+		Follow: clusterPeers(c.Follow),
+		Rules:  c.Rules,
+		Log:    logger,
+	})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -132,8 +132,17 @@
 // Reload reads the whole file again and returns the new configuration. The registry comes from the file; name, addresses
 // and other properties of the process stay.
 func (c *Config) Reload() (*Config, error) {
-	next := &Config{Path: c.Path, Name: c.Name, Listen: c.Listen, Operator: c.Operator, StateDir: c.StateDir, Inherit: c.Inherit, AcceptFD: c.AcceptFD,
-		readSource: c.readSource, isReload: true}
+	next := &Config{
+		Path:       c.Path,
+		Name:       c.Name,
+		Listen:     c.Listen,
+		Operator:   c.Operator,
+		StateDir:   c.StateDir,
+		Inherit:    c.Inherit,
+		AcceptFD:   c.AcceptFD,
+		readSource: c.readSource,
+		isReload:   true,
+	}
 	fromFile, err := next.read()
 	if err != nil {
 		return nil, err
--- a/internal/program/config_json.go
+++ b/internal/program/config_json.go
@@ -62,9 +62,16 @@
 	for _, class := range names.Classes {
 		c.Names.Classes = append(c.Names.Classes, class.Name)
 	}
-	c.check(faults, settingKeys{zone: "settings.zone", classes: "settings.classes", connectTimeout: "settings.ceilings.connect_timeout_us", maxAttempts: "settings.ceilings.max_attempts",
-		fallMultiple: "settings.safety.fall_multiple", startCapacity: "settings.safety.start_capacity", window: "dedup_window_us",
-		memory: "limits.memory_mb"})
+	c.check(faults, settingKeys{
+		zone:           "settings.zone",
+		classes:        "settings.classes",
+		connectTimeout: "settings.ceilings.connect_timeout_us",
+		maxAttempts:    "settings.ceilings.max_attempts",
+		fallMultiple:   "settings.safety.fall_multiple",
+		startCapacity:  "settings.safety.start_capacity",
+		window:         "dedup_window_us",
+		memory:         "limits.memory_mb",
+	})
 	return instanceSettings{document.Name, document.Listen, document.Discovery, document.Operator}, faults.Err()
 }
 
--- a/internal/program/config_toml.go
+++ b/internal/program/config_toml.go
@@ -140,22 +140,54 @@
 		faults.Fail("ordinal", "%d: must be less than the number of sidecars", file.Ordinal)
 	}
 	c.Decide = decide.Config{
-		Zone: max(zone, 0), Ordinal: file.Ordinal, Balancers: file.Sidecars, OverShareWorth: 1, Subscribe: file.Lists != "pushed",
-		Weights: decide.Weights(max(0, slices.Index([]string{"none", "nominal", "rough", "live"}, file.Weights))),
-		Reports: decide.Reports(max(0, slices.Index([]string{"none", "answers", "probes"}, file.Reports.Via))), Columns: file.Reports.Columns,
-		Safety: decide.Safety{AnswerSlack: file.Rules.AnswerSlack, AskWithin: file.Rules.AskWithin, DrainGrace: file.Rules.DrainGrace,
-			FallMultiple: file.Rules.FallMultiple, TipAfter: file.Rules.FallTime, StartShare: file.Rules.StartCapacity, WarmAfter: file.Rules.Warm},
-		Limits: decide.Limits{Cancel: file.Attempts.Cancel, Probe: file.Attempts.Probe, RetryAfter: file.Attempts.RetryAfter, SecondCopies: file.Attempts.Copies,
-			MaxAttempts: file.Attempts.Max, MaxRetryAfter: file.Attempts.MaxRetry},
-		Prices: decide.Prices{CrossZone: file.Prices.Cross, Waste: file.Prices.Waste, Probe: file.Prices.Probe, LateFail: file.Prices.LateFail,
-			Handshake: file.Prices.Handshake, Connection: file.Prices.Connection},
-		IdleClose: file.Connections.Idle, ConnectTime: file.Connections.ConnectTimeout, ConnStreams: file.Connections.Streams,
+		Zone:           max(zone, 0),
+		Ordinal:        file.Ordinal,
+		Balancers:      file.Sidecars,
+		OverShareWorth: 1,
+		Subscribe:      file.Lists != "pushed",
+		Weights:        decide.Weights(max(0, slices.Index([]string{"none", "nominal", "rough", "live"}, file.Weights))),
+		Reports:        decide.Reports(max(0, slices.Index([]string{"none", "answers", "probes"}, file.Reports.Via))),
+		Columns:        file.Reports.Columns,
+		Safety: decide.Safety{
+			AnswerSlack:  file.Rules.AnswerSlack,
+			AskWithin:    file.Rules.AskWithin,
+			DrainGrace:   file.Rules.DrainGrace,
+			FallMultiple: file.Rules.FallMultiple,
+			TipAfter:     file.Rules.FallTime,
+			StartShare:   file.Rules.StartCapacity,
+			WarmAfter:    file.Rules.Warm,
+		},
+		Limits: decide.Limits{
+			Cancel:        file.Attempts.Cancel,
+			Probe:         file.Attempts.Probe,
+			RetryAfter:    file.Attempts.RetryAfter,
+			SecondCopies:  file.Attempts.Copies,
+			MaxAttempts:   file.Attempts.Max,
+			MaxRetryAfter: file.Attempts.MaxRetry,
+		},
+		Prices: decide.Prices{
+			CrossZone:  file.Prices.Cross,
+			Waste:      file.Prices.Waste,
+			Probe:      file.Prices.Probe,
+			LateFail:   file.Prices.LateFail,
+			Handshake:  file.Prices.Handshake,
+			Connection: file.Prices.Connection,
+		},
+		IdleClose:   file.Connections.Idle,
+		ConnectTime: file.Connections.ConnectTimeout,
+		ConnStreams: file.Connections.Streams,
 	}
 	for i, class := range file.Classes {
 		c.Names.Classes = append(c.Names.Classes, class.Name)
-		c.Decide.Classes = append(c.Decide.Classes, decide.Class{Aim: class.Aim, Deadline: class.Deadline, Worth: class.Worth, LateWorth: class.LateWorth,
-			Effect: decide.Effect(max(0, slices.Index([]string{"safe", "keyed", "unsafe"}, class.Effect))),
-			Group:  decide.Group(max(0, slices.Index([]string{"all", "zone", "cell"}, class.Group))), Window: class.Window})
+		c.Decide.Classes = append(c.Decide.Classes, decide.Class{
+			Aim:       class.Aim,
+			Deadline:  class.Deadline,
+			Worth:     class.Worth,
+			LateWorth: class.LateWorth,
+			Effect:    decide.Effect(max(0, slices.Index([]string{"safe", "keyed", "unsafe"}, class.Effect))),
+			Group:     decide.Group(max(0, slices.Index([]string{"all", "zone", "cell"}, class.Group))),
+			Window:    class.Window,
+		})
 		if class.Aim > class.Deadline {
 			faults.Fail(fmt.Sprintf("class[%d].aim", i), "%v is longer than the deadline %v", class.Aim, class.Deadline)
 		}
@@ -175,16 +207,34 @@
 		if slices.ContainsFunc(file.Workers[:i], func(other fileWorker) bool { return other.ID == worker.ID }) {
 			faults.Fail(key+".id", "%q is listed twice", worker.ID)
 		}
-		c.Known.Instances = append(c.Known.Instances, protocol.Instance{ID: worker.ID, Addr: worker.Address, Zone: worker.Zone, Kind: worker.Kind, Cell: worker.Cell,
-			Lifecycle: protocol.Up, Weight: worker.Weight})
+		c.Known.Instances = append(c.Known.Instances, protocol.Instance{
+			ID:        worker.ID,
+			Addr:      worker.Address,
+			Zone:      worker.Zone,
+			Kind:      worker.Kind,
+			Cell:      worker.Cell,
+			Lifecycle: protocol.Up,
+			Weight:    worker.Weight,
+		})
 	}
 	if c.Cluster = file.Cluster; c.Cluster != nil {
-		c.Cluster.check(faults, []configuredAddress{{"listen", cmp.Or(c.Listen, file.Listen)}, {"operator", cmp.Or(c.Operator, file.Operator)},
-			{"registry", cmp.Or(c.Registry, file.Registry)}}, !c.isReload)
+		c.Cluster.check(faults, []configuredAddress{
+			{"listen", cmp.Or(c.Listen, file.Listen)},
+			{"operator", cmp.Or(c.Operator, file.Operator)},
+			{"registry", cmp.Or(c.Registry, file.Registry)},
+		}, !c.isReload)
 	}
 	if faults.Err() == nil { // otherwise values may be missing, and their faults are already reported
-		c.check(faults, settingKeys{zone: "zone", classes: "class", connectTimeout: "connections.connect_timeout", maxAttempts: "delegations.max_attempts", fallMultiple: "rules.fall_multiple",
-			startCapacity: "rules.start_capacity", window: "window", memory: "limits.memory"})
+		c.check(faults, settingKeys{
+			zone:           "zone",
+			classes:        "class",
+			connectTimeout: "connections.connect_timeout",
+			maxAttempts:    "delegations.max_attempts",
+			fallMultiple:   "rules.fall_multiple",
+			startCapacity:  "rules.start_capacity",
+			window:         "window",
+			memory:         "limits.memory",
+		})
 	}
 	return instanceSettings{file.Name, file.Listen, file.Registry, file.Operator}, faults.Err()
 }
--- a/internal/program/rules.go
+++ b/internal/program/rules.go
@@ -57,20 +57,26 @@
 
 // initRules sets up the gate that enforces the record's rules on calls. It does nothing if rules are off.
 func (s *Sidecar) initRules() {
-	config := s.config
-	if s.member == nil || !config.Cluster.Rules {
+	cfg := s.config
+	if s.member == nil || !cfg.Cluster.Rules {
 		return
 	}
 	zone := ""
-	if config.Decide.Zone < len(config.Names.Zones) {
-		zone = config.Names.Zones[config.Decide.Zone]
+	if cfg.Decide.Zone < len(cfg.Names.Zones) {
+		zone = cfg.Names.Zones[cfg.Decide.Zone]
 	}
-	cluster := config.Cluster
+	cluster := cfg.Cluster
 	s.limits = limits.New(limits.Config{Member: s.member, Name: cluster.Member, Log: s.log})
-	enforcerConfig := enforcement.Config{Member: s.member, Limits: s.limits, Island: cmp.Or(cluster.Island, zone), Hall: cmp.Or(cluster.Hall, zone), Log: s.log}
-	for i, name := range config.Names.Classes {
+	enforcerConfig := enforcement.Config{
+		Member: s.member,
+		Limits: s.limits,
+		Island: cmp.Or(cluster.Island, zone),
+		Hall:   cmp.Or(cluster.Hall, zone),
+		Log:    s.log,
+	}
+	for i, name := range cfg.Names.Classes {
 		class := enforcement.Class{Name: name}
-		if settings := config.Decide.Classes[i]; settings.Effect == decide.Keyed {
+		if settings := cfg.Decide.Classes[i]; settings.Effect == decide.Keyed {
 			class.Window = settings.Window
 		}
 		enforcerConfig.Classes = append(enforcerConfig.Classes, class)
@@ -78,7 +84,12 @@
 	s.enforcer = enforcement.New(enforcerConfig)
 	s.usage = usage.New(usage.Config{Member: s.member, Process: cluster.Member, Log: s.log})
 	s.versions = enforcement.NewVersions(s.enforcer, s.usage)
-	s.gate, s.origins = s.versions, &protocol.Origins{Caller: cluster.Caller, Version: cluster.Version, UnderWay: cluster.UnderWay, Segment: cluster.Segment}
+	s.gate, s.origins = s.versions, &protocol.Origins{
+		Caller:   cluster.Caller,
+		Version:  cluster.Version,
+		UnderWay: cluster.UnderWay,
+		Segment:  cluster.Segment,
+	}
 	registerRuleMetrics(s.member, s.enforcer)
 }
 
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -94,26 +94,33 @@
 		}
 		return nil, err
 	}
-	s := &Sidecar{config: cfg, network: network, log: logger, listener: listener, adminListener: adminListener, member: joined,
+	s := &Sidecar{
+		config:        cfg,
+		network:       network,
+		log:           logger,
+		listener:      listener,
+		adminListener: adminListener,
+		member:        joined,
 		pool: transport.NewPool(network, transport.NewBudget(workers), cfg.Decide.ConnectTime,
-			time.Duration(idleTimeoutFraction*float64(cfg.Decide.IdleClose)))}
+			time.Duration(idleTimeoutFraction*float64(cfg.Decide.IdleClose))),
+	}
 	s.initRules()
 	return s, nil
 }
 
 // operatorSockets is the number of descriptors that the admin listener needs: the listener itself, its connections, and one
 // more that was just accepted, before an older connection is closed to make room.
-func operatorSockets(config *Config) int {
-	if config.Operator == "" {
+func operatorSockets(cfg *Config) int {
+	if cfg.Operator == "" {
 		return 0
 	}
 	return operator.MaxConns + 2
 }
 
 // listenForClients binds the clients' address, or takes over the platform's listening socket if configured.
-func listenForClients(network transport.Network, config *Config, clients, reserved int) (*transport.Listener, error) {
-	if !config.Inherit {
-		listener, err := transport.Listen(network, config.Listen, clients, reserved)
+func listenForClients(network transport.Network, cfg *Config, clients, reserved int) (*transport.Listener, error) {
+	if !cfg.Inherit {
+		listener, err := transport.Listen(network, cfg.Listen, clients, reserved)
 		if err != nil {
 			return nil, fmt.Errorf("EDGE_LISTEN: %w", err)
 		}
@@ -125,7 +132,7 @@
 	if !ok {
 		return nil, errors.New("EDGE_ACCEPT_FD: this network cannot inherit a descriptor")
 	}
-	listener, err := inheriter.Inherit(config.AcceptFD)
+	listener, err := inheriter.Inherit(cfg.AcceptFD)
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_ACCEPT_FD: %w", err)
 	}
@@ -165,8 +172,17 @@
 	maintenanceSet := s.loadMaintenance()
 	invariants := invariant.NewMonitor(s.log)
 	router := routing.New(runCtx, routing.Config{
-		Decide: cfg.Decide, Seed: cfg.Seed, Names: cfg.Names, Network: s.network, Registry: cfg.Registry, Log: s.log, Trace: cfg.Trace,
-		Workers: &protocol.Workers{Pool: s.pool, Columns: cfg.Decide.Columns, Figures: stats}, Out: maintenanceSet, Gate: s.gate, Invariants: invariants,
+		Decide:     cfg.Decide,
+		Seed:       cfg.Seed,
+		Names:      cfg.Names,
+		Network:    s.network,
+		Registry:   cfg.Registry,
+		Log:        s.log,
+		Trace:      cfg.Trace,
+		Workers:    &protocol.Workers{Pool: s.pool, Columns: cfg.Decide.Columns, Figures: stats},
+		Out:        maintenanceSet,
+		Gate:       s.gate,
+		Invariants: invariants,
 	}, cfg.Known)
 	s.router.Store(router)
 	if maintenanceSet.Len() > 0 {
@@ -182,8 +198,20 @@
 		classWorths[i] = class.Worth
 		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	server := &protocol.Server{Handler: router, Classes: cfg.Names.Classes, Worth: classWorths, Longest: longestDeadline, Advice: retryAfter,
-		Draining: drainCtx, Closing: closeCtx, Held: &s.drained, Figures: stats, Origins: s.origins, Log: s.log, Invariants: invariants}
+	server := &protocol.Server{
+		Handler:    router,
+		Classes:    cfg.Names.Classes,
+		Worth:      classWorths,
+		Longest:    longestDeadline,
+		Advice:     retryAfter,
+		Draining:   drainCtx,
+		Closing:    closeCtx,
+		Held:       &s.drained,
+		Figures:    stats,
+		Origins:    s.origins,
+		Log:        s.log,
+		Invariants: invariants,
+	}
 	acceptDone := make(chan struct{})
 	go func() {
 		defer close(acceptDone)
