--- a/internal/program/cluster_without_test.go
+++ b/internal/program/no_cluster_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// ofCluster tells whether a line of a stack is of what [cluster] starts.
-func ofCluster(line string) bool {
+// isClusterCode reports whether a line of a stack trace belongs to code that [cluster] starts.
+func isClusterCode(line string) bool {
 	for _, part := range []string{"burlpass/internal/cluster", "burlpass/internal/orders", "burlpass/internal/record", "burlpass/internal/rules",
 		"burlpass/internal/enforcement", "burlpass/internal/limits", "burlpass/internal/lease", "github.com/hashicorp/",
 		"go.etcd.io/bbolt", "github.com/prometheus/"} {
@@ -20,24 +20,24 @@
 	return false
 }
 
-// descriptors are this process's by what they lead to.
+// descriptors returns the targets of this process's open file descriptors.
 func descriptors(t *testing.T) map[string]bool {
 	all, err := filepath.Glob("/proc/self/fd/*")
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := map[string]bool{}
+	targets := map[string]bool{}
 	for _, fd := range all {
-		if at, err := os.Readlink(fd); err == nil { // not the one that lists them
-			to[at] = true
+		if at, err := os.Readlink(fd); err == nil { // the descriptor of the listing itself is closed already
+			targets[at] = true
 		}
 	}
-	return to
+	return targets
 }
 
-// clusterAllocations counts what has been allocated so far in the cluster's code.
+// clusterAllocations counts the objects allocated so far in cluster code.
 func clusterAllocations() (objects int64) {
-	runtime.GC() // a profile is of the collection before the last one
+	runtime.GC() // a profile reflects the second to last collection
 	runtime.GC()
 	n, _ := runtime.MemProfile(nil, true)
 	records := make([]runtime.MemProfileRecord, n+1000)
@@ -45,7 +45,7 @@
 	for _, r := range records[:n] {
 		for frames := runtime.CallersFrames(r.Stack()); ; {
 			f, more := frames.Next()
-			if ofCluster(f.Function) {
+			if isClusterCode(f.Function) {
 				objects += r.AllocObjects
 				break
 			}
@@ -57,43 +57,43 @@
 	return objects
 }
 
-// Without [cluster] there is no goroutine, no descriptor and no allocation of it. That the same look finds them with it shows
-// that it would.
-func TestNothingWithoutCluster(t *testing.T) {
+// Without [cluster], the cluster's code has no goroutine, descriptor or allocation. The case with a cluster shows that the same
+// checks would find them.
+func TestNoClusterResourcesWithoutConfig(t *testing.T) {
 	rate := runtime.MemProfileRate
 	runtime.MemProfileRate = 1
 	defer func() { runtime.MemProfileRate = rate }()
 	for name, c := range map[string]struct {
-		cluster *ClusterConfig
-		of      bool
-	}{"without": {nil, false}, "with": {onlyVoter(t), true}} {
+		cluster     *ClusterConfig
+		wantCluster bool
+	}{"without": {nil, false}, "with": {singleVoterConfig(t), true}} {
 		t.Run(name, func(t *testing.T) {
 			before, allocated := descriptors(t), clusterAllocations()
-			sidecar := open(t, c.cluster)
+			sidecar := newTestSidecar(t, c.cluster)
 			var fresh []string
 			for to := range descriptors(t) {
-				if !before[to] && !strings.Contains(to, "anon_inode") { // the runtime's poller, once a process
+				if !before[to] && !strings.Contains(to, "anon_inode") { // the runtime's poller, opened once per process
 					fresh = append(fresh, to)
 				}
 			}
-			if more := len(fresh) > 2; more != c.of { // the worker's and the clients' addresses
+			if more := len(fresh) > 2; more != c.wantCluster { // the listeners for the worker and for clients
 				t.Errorf("descriptors: %q", fresh)
 			}
-			call := sidecar.run()
+			call := sidecar.startCalls()
 			for range 200 {
 				call()
 			}
 			stacks := make([]byte, 4<<20)
 			found := ""
 			for line := range strings.Lines(string(stacks[:runtime.Stack(stacks, true)])) {
-				if ofCluster(line) {
+				if isClusterCode(line) {
 					found = line
 				}
 			}
-			if (found != "") != c.of {
+			if (found != "") != c.wantCluster {
 				t.Errorf("goroutines: %q", found)
 			}
-			if n := clusterAllocations() - allocated; (n > 0) != c.of {
+			if n := clusterAllocations() - allocated; (n > 0) != c.wantCluster {
 				t.Errorf("%d allocations", n)
 			}
 		})
--- a/internal/program/rules.go
+++ b/internal/program/rules.go
@@ -14,84 +14,96 @@
 	"burlpass/internal/usage"
 )
 
-// RulesConfig is what of the [cluster] section concerns the rules of teams.
+// RulesConfig is the part of the [cluster] section that concerns the teams' rules.
 type RulesConfig struct {
-	// Rules has the record hold rules of teams and lets them take effect here. It is the same at all members.
+	// Rules stores the teams' rules in the record and enforces them here. It is the same at all members.
 	Rules bool `toml:"rules" default:"false" doc:"rules of teams are kept in the record, and hold for the calls of this sidecar; the same at every member, from the forming on"`
-	// Island and Hall are where this sidecar is, as rules name it; "" for its zone.
+	// Island and Hall locate this sidecar in the terms of the rules (a hall is a zone); "" stands for the sidecar's zone.
 	Island string `toml:"island" doc:"the island that this sidecar's calls are of, as rules name it; the zone where it is empty"`
 	Hall   string `toml:"hall" doc:"the hall or branch, likewise"`
-	// Caller and Version are headers, "" for none; Segment is a place in the path, 0 for none.
+	// Caller and Version are header names, "" for none; Segment is the index of a path segment, 0 for none.
 	Caller  string `toml:"caller" doc:"header in which a call names its caller, for rules; nobody is named where it is empty"`
 	Version string `toml:"version" doc:"header in which a call names its API version"`
 	Segment int    `toml:"version_segment" default:"0" range:"0..8" doc:"the path's segment that is the API version where no header has it: 1 is the one after the class; 0 for none"`
-	// UnderWay is a header, "" for none.
+	// UnderWay is a header name, "" for none.
 	UnderWay string `toml:"under_way" doc:"header that a call has whose booking is under way: it is not shed where its API version ends"`
 }
 
 var (
-	placeName  = regexp.MustCompile(`^[a-z0-9._-]{1,40}$`)
-	headerName = regexp.MustCompile("^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}$")
+	locationPattern   = regexp.MustCompile(`^[a-z0-9._-]{1,40}$`)
+	headerNamePattern = regexp.MustCompile("^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}$")
 )
 
-func (k *RulesConfig) check(f *config.File) {
+func (c *RulesConfig) check(file *config.File) {
 	for _, v := range []struct {
-		key, text, want string
-		is              *regexp.Regexp
+		key, text, expected string
+		pattern             *regexp.Regexp
 	}{
-		{"cluster.island", k.Island, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", placeName},
-		{"cluster.hall", k.Hall, "1 to 40 of a-z, 0-9, '.', '_' and '-' are", placeName},
-		{"cluster.caller", k.Caller, "the name of a header is", headerName},
-		{"cluster.version", k.Version, "the name of a header is", headerName},
-		{"cluster.under_way", k.UnderWay, "the name of a header is", headerName},
+		{"cluster.island", c.Island, "1 to 40 of a-z, 0-9, '.', '_' and '-'", locationPattern},
+		{"cluster.hall", c.Hall, "1 to 40 of a-z, 0-9, '.', '_' and '-'", locationPattern},
+		{"cluster.caller", c.Caller, "the name of a header", headerNamePattern},
+		{"cluster.version", c.Version, "the name of a header", headerNamePattern},
+		{"cluster.under_way", c.UnderWay, "the name of a header", headerNamePattern},
 	} {
 		switch {
-		case v.text == "" || f.Failed(v.key):
-		case !v.is.MatchString(v.text):
-			f.Fail(v.key, "%q: %s expected", v.text, v.want)
-		case !k.Rules && !f.Failed("cluster.rules"):
-			f.Fail(v.key, "it says nothing without rules = true")
+		case v.text == "" || file.Failed(v.key):
+		case !v.pattern.MatchString(v.text):
+			file.Fail(v.key, "%q: must be %s", v.text, v.expected)
+		case !c.Rules && !file.Failed("cluster.rules"):
+			file.Fail(v.key, "has no effect without rules = true")
 		}
 	}
 }
 
-// openRules makes the rules of the member's record the router's gate. Without them it does nothing.
-func (s *Sidecar) openRules() {
-	c := s.config
-	if s.member == nil || !c.Cluster.Rules {
+// initRules sets up the gate that enforces the record's rules on calls. It does nothing if rules are off.
+func (s *Sidecar) initRules() {
+	cfg := s.config
+	if s.member == nil || !cfg.Cluster.Rules {
 		return
 	}
 	zone := ""
-	if c.Decide.Zone < len(c.Names.Zones) {
-		zone = c.Names.Zones[c.Decide.Zone]
+	if cfg.Decide.Zone < len(cfg.Names.Zones) {
+		zone = cfg.Names.Zones[cfg.Decide.Zone]
 	}
-	k := c.Cluster
-	s.limits = limits.New(limits.Config{Member: s.member, Name: k.Member, Log: s.log})
-	g := enforcement.Config{Member: s.member, Limits: s.limits, Island: cmp.Or(k.Island, zone), Hall: cmp.Or(k.Hall, zone), Log: s.log}
-	for i, name := range c.Names.Classes {
+	cluster := cfg.Cluster
+	s.limits = limits.New(limits.Config{Member: s.member, Name: cluster.Member, Log: s.log})
+	enforcerConfig := enforcement.Config{
+		Member: s.member,
+		Limits: s.limits,
+		Island: cmp.Or(cluster.Island, zone),
+		Hall:   cmp.Or(cluster.Hall, zone),
+		Log:    s.log,
+	}
+	for i, name := range cfg.Names.Classes {
 		class := enforcement.Class{Name: name}
-		if d := c.Decide.Classes[i]; d.Effect == decide.Keyed {
-			class.Window = d.Window
+		if settings := cfg.Decide.Classes[i]; settings.Effect == decide.Keyed {
+			class.Window = settings.Window
 		}
-		g.Classes = append(g.Classes, class)
+		enforcerConfig.Classes = append(enforcerConfig.Classes, class)
+	}
+	s.enforcer = enforcement.New(enforcerConfig)
+	s.usage = usage.New(usage.Config{Member: s.member, Process: cluster.Member, Log: s.log})
+	s.versions = enforcement.NewVersions(s.enforcer, s.usage)
+	s.gate, s.origins = s.versions, &protocol.Origins{
+		Caller:   cluster.Caller,
+		Version:  cluster.Version,
+		UnderWay: cluster.UnderWay,
+		Segment:  cluster.Segment,
 	}
-	s.governor = enforcement.New(g)
-	s.usage = usage.New(usage.Config{Member: s.member, Process: k.Member, Log: s.log})
-	s.versions = enforcement.NewVersions(s.governor, s.usage)
-	s.gate, s.origins = s.versions, &protocol.Origins{Caller: k.Caller, Version: k.Version, UnderWay: k.UnderWay, Segment: k.Segment}
-	expose(s.member, s.governor)
+	registerRuleMetrics(s.member, s.enforcer)
 }
 
-// startRules has the rules followed until stop is called, which gives back what this process has of the fleet's limits.
+// startRules starts the goroutines that keep rules, limits, API versions and usage reports up to date. The returned stop ends
+// them and gives this process's share of the fleet-wide limits back.
 func (s *Sidecar) startRules() (stop func()) {
-	if s.governor == nil {
+	if s.enforcer == nil {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var done sync.WaitGroup
-	done.Go(func() { s.governor.Run(ctx) })
-	done.Go(func() { s.limits.Run(ctx) })
-	done.Go(func() { s.versions.Run(ctx) })
-	done.Go(func() { s.usage.Run(ctx) })
-	return func() { cancel(); done.Wait() }
+	var running sync.WaitGroup
+	running.Go(func() { s.enforcer.Run(ctx) })
+	running.Go(func() { s.limits.Run(ctx) })
+	running.Go(func() { s.versions.Run(ctx) })
+	running.Go(func() { s.usage.Run(ctx) })
+	return func() { cancel(); running.Wait() }
 }
--- a/internal/program/rules_test.go
+++ b/internal/program/rules_test.go
@@ -16,37 +16,37 @@
 	"burlpass/internal/rules"
 )
 
-// What rules need is told with its place where it is wrong, and says nothing without them.
+// Faults in the settings for rules are reported with their key, also when rules are off and the settings have no effect.
 func TestRulesConfig(t *testing.T) {
 	folder := t.TempDir()
 	for lines, want := range map[string]string{
 		"":             "",
 		"rules = true": "",
 		"rules = true\nisland = \"athens\"\nhall = \"h1\"\ncaller = \"X-Caller\"\nversion = \"X-V\"\nversion_segment = 1": "",
-		"caller = \"X-Caller\"":               "cluster.caller: it says nothing without rules = true",
-		"rules = true\ncaller = \"X Caller\"": `cluster.caller: "X Caller": the name of a header is expected`,
-		"rules = true\nisland = \"Athens\"":   `cluster.island: "Athens": 1 to 40 of a-z`,
-		"rules = true\nhall = \"*\"":          `cluster.hall: "*": 1 to 40 of a-z`,
+		"caller = \"X-Caller\"":               "cluster.caller: has no effect without rules = true",
+		"rules = true\ncaller = \"X Caller\"": `cluster.caller: "X Caller": must be the name of a header`,
+		"rules = true\nisland = \"Athens\"":   `cluster.island: "Athens": must be 1 to 40 of a-z`,
+		"rules = true\nhall = \"*\"":          `cluster.hall: "*": must be 1 to 40 of a-z`,
 		"rules = true\nversion_segment = 9":   "cluster.version_segment",
 		"rules = \"yes\"":                     "cluster.rules",
 		"rules = true\nversion = \"a:b\"\n":   `cluster.version: "a:b"`,
 	} {
-		_, err := LoadFile(clusterFile(t, section(folder, "", "")+lines+"\n"))
+		_, err := LoadFile(writeClusterFile(t, clusterSection(folder, "", "")+lines+"\n"))
 		if got := fmt.Sprint(err); (err == nil) != (want == "") || err != nil && !strings.Contains(got, want) {
 			t.Errorf("%q: %s, not %s", lines, got, want)
 		}
 	}
 }
 
-// A rule written into the record refuses calls of a whole sidecar with 429 and a time to stay away, counts them on the cluster's address, and
-// lets others pass; taken back, it refuses nothing.
-func TestRulesAtASidecar(t *testing.T) {
-	k := onlyVoter(t)
-	k.RulesConfig = RulesConfig{Rules: true, Caller: "X-Caller", Island: "athens"}
-	o := open(t, k)
+// A rule written to the record makes a whole sidecar refuse matching calls with 429 and Retry-After and count them in the
+// metrics at the cluster's address, while other calls pass. Once the rule is removed, nothing is refused.
+func TestRuleRefusesCalls(t *testing.T) {
+	cluster := singleVoterConfig(t)
+	cluster.RulesConfig = RulesConfig{Rules: true, Caller: "X-Caller", Island: "athens"}
+	sidecar := newTestSidecar(t, cluster)
 	signals, done := make(chan os.Signal, 1), make(chan struct{})
-	go func() { defer close(done); o.Run(signals) }()
-	client, err := net.Dial("tcp", o.Addr().String())
+	go func() { defer close(done); sidecar.Run(signals) }()
+	client, err := net.Dial("tcp", sidecar.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,23 +70,23 @@
 	}
 	write := func(w *record.Write) {
 		t.Helper()
-		if r, err := o.member.Write(context.Background(), w); err != nil || r.Outcome != record.Applied {
+		if r, err := sidecar.member.Write(context.Background(), w); err != nil || r.Outcome != record.Applied {
 			t.Fatal(r, err)
 		}
 	}
 	const rule = `{"mode":"locked","callers":["app"]}`
 	write(&record.Write{ID: "1", By: "root", Changes: []record.Change{change(rules.TeamKind, "root", `{"now":{}}`),
 		change(rules.NamespaceKind, "*/*/*", `{"now":{"owner":"root"}}`), change(rules.RuleKind, "*/*/*#callers#r", `{"now":`+rule+`}`)}})
-	for call("web") == "200" { // until the rule is in force
+	for call("web") == "200" { // until the rule takes effect
 	}
 	if got := call("web") + ", " + call("app"); got != "429 1, 200" {
 		t.Error(got)
 	}
-	figures := get(t, o.member.(interface{ Addr() net.Addr }).Addr().String(), "/metrics")
-	if !strings.Contains(figures, `burlpass_rules_refused_total{rule="*/*/*#callers#r"} `) {
-		t.Error(figures)
+	metrics := get(t, sidecar.member.(interface{ Addr() net.Addr }).Addr().String(), "/metrics")
+	if !strings.Contains(metrics, `burlpass_rules_refused_total{rule="*/*/*#callers#r"} `) {
+		t.Error(metrics)
 	}
-	version := o.member.Replica().Version()
+	version := sidecar.member.Replica().Version()
 	write(&record.Write{ID: "2", By: "root", Base: version, Changes: []record.Change{
 		change(rules.RuleKind, "*/*/*#callers#r", `{"now":null,"past":[{"was":`+rule+`,"by":"root"}]}`)}})
 	for call("web") != "200" {
--- a/internal/program/text_test.go
+++ b/internal/program/scenario_text_test.go
@@ -10,7 +10,7 @@
 	gocmp "github.com/google/go-cmp/cmp"
 )
 
-const settings = `{"balancers":3,"ordinal":0,"period_us":5000,"zone":0,"zones":["hall-a","hall-b"],
+const jsonSettings = `{"balancers":3,"ordinal":0,"period_us":5000,"zone":0,"zones":["hall-a","hall-b"],
 "machine_types":["new","old"],"discovery":"subscribe","weights":"rough","tenants":[],
 "ceilings":{"cancelling":true,"connect_timeout_us":250000,"idle_close_us":5000000,"max_attempts":3,
  "max_retry_after_us":1500000,"may_duplicate":false,"probing":true,"retry_after":true},
@@ -23,8 +23,8 @@
  {"name":"paid-extra","repeat":"keyed","group":"zone","dedup_window_us":12000000,"aim_us":1000000,
   "deadline_us":2500000,"importance":10.0,"late_worth":0.25}]}`
 
-// Long messages stand in a script as <N> or <N+FROM>: N bytes of a text that goes on without end, from a place in it.
-var stretch = regexp.MustCompile(`<(\d+)(?:\+(\d+))?>`)
+// fillerPattern matches the short form of a long body in a script, <N> or <N+FROM>: N bytes of an endless text from offset FROM.
+var fillerPattern = regexp.MustCompile(`<(\d+)(?:\+(\d+))?>`)
 
 func filler(n, from int) string {
 	b := make([]byte, n)
@@ -34,17 +34,17 @@
 	return string(b)
 }
 
-func expand(raw string) string {
-	return stretch.ReplaceAllStringFunc(raw, func(m string) string {
-		parts := stretch.FindStringSubmatch(m)
+func expandFiller(raw string) string {
+	return fillerPattern.ReplaceAllStringFunc(raw, func(m string) string {
+		parts := fillerPattern.FindStringSubmatch(m)
 		n, _ := strconv.Atoi(parts[1])
 		from, _ := strconv.Atoi(parts[2])
 		return filler(n, from)
 	})
 }
 
-// shorten is how a long body stands in a script.
-func shorten(b []byte) string {
+// abbreviateBody returns the short form of a body in a script.
+func abbreviateBody(b []byte) string {
 	switch {
 	case len(b) <= 1000:
 		return string(b)
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("%d other bytes", len(b))
 }
 
-// request makes a client's request of "METHOD target name=value ...".
-func request(what string) string {
+// formatCall formats a client's request from "METHOD target name=value ...".
+func formatCall(what string) string {
 	words := strings.Fields(what)
 	class := strings.Split(words[1], "/")[1]
 	head, body := words[0]+" "+words[1]+" HTTP/1.1\r\nHost: service.internal\r\nX-Qos: "+class+"\r\n", ""
@@ -72,8 +72,8 @@
 	return head + "\r\n" + body
 }
 
-// answer makes a worker's answer of "STATUS BODY"; the body never-ran stands for the header.
-func answer(what string) string {
+// formatResponse formats a worker's response from "STATUS BODY"; the body never-ran stands for the header X-Never-Ran.
+func formatResponse(what string) string {
 	status, body, _ := strings.Cut(what, " ")
 	extra := ""
 	if body == "never-ran" {
@@ -82,15 +82,15 @@
 	return fmt.Sprintf("HTTP/1.1 %s OK\r\n%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
-// age is the one figure that no script can foretell.
-var age = regexp.MustCompile(`"list_age_ms":\d+`)
+// listAgePattern matches the age of the list, the only statistic that a script cannot predict.
+var listAgePattern = regexp.MustCompile(`"list_age_ms":\d+`)
 
-var entry = regexp.MustCompile(`(\d)=(\w+)(?:@(\S+))?`)
+var listEntryPattern = regexp.MustCompile(`(\d)=(\w+)(?:@(\S+))?`)
 
-// list makes the registry's JSON of "GENERATION [reset] WORKER=LIFECYCLE[@ZONE] ...".
-func (st *stage) list(what string) string {
+// registryJSON formats the registry's JSON from "GENERATION [reset] WORKER=LIFECYCLE[@ZONE] ...".
+func (st *scenarioRun) registryJSON(what string) string {
 	items := []string{}
-	for _, m := range entry.FindAllStringSubmatch(what, -1) {
+	for _, m := range listEntryPattern.FindAllStringSubmatch(what, -1) {
 		n, _ := strconv.Atoi(m[1])
 		items = append(items, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":%q,"zone":%q,"machineType":"new",
 			"cell":0,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`, n, st.workers[n], cmp.Or(m[3], "hall-a"), m[2]))
@@ -99,7 +99,7 @@
 		strings.Contains(what, "reset"), strings.Join(items, ","))
 }
 
-func cmpDiff(want, got string) error {
+func diffError(want, got string) error {
 	if diff := gocmp.Diff(want, got); diff != "" {
 		return fmt.Errorf("(-want +got)\n%s", diff)
 	}
