--- a/internal/cluster/voter/bench_test.go
+++ b/internal/cluster/voter/bench_test.go
@@ -35,14 +35,14 @@
 	page := make([]byte, 4096)
 	var all []time.Duration
 	for i := range 2000 {
-		began := time.Now()
+		start := time.Now()
 		if _, err := f.WriteAt(page, int64(i%64)*4096); err != nil {
 			b.Fatal(err)
 		}
 		if err := f.Sync(); err != nil {
 			b.Fatal(err)
 		}
-		all = append(all, time.Since(began))
+		all = append(all, time.Since(start))
 	}
 	report(b, "fsync", all)
 }
@@ -55,23 +55,23 @@
 	c.open()
 	leader := c.leader()
 	for name, at := range map[string][]*node{"leader": {leader}, "all": c.nodes} {
-		took := make([]time.Duration, rate*seconds)
+		latencies := make([]time.Duration, rate*seconds)
 		var done sync.WaitGroup
-		began := time.Now()
-		for i := range took {
-			due := began.Add(time.Duration(i) * time.Second / rate)
+		start := time.Now()
+		for i := range latencies {
+			due := start.Add(time.Duration(i) * time.Second / rate)
 			time.Sleep(time.Until(due))
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				if r, err := at[i%len(at)].v.Write(context.Background(), order(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)); err != nil || r.Outcome != record.Applied {
+				if r, err := at[i%len(at)].v.Write(context.Background(), disableOrder(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)); err != nil || r.Outcome != record.Applied {
 					b.Error(r, err)
 				}
-				took[i] = time.Since(due)
+				latencies[i] = time.Since(due)
 			}()
 		}
 		done.Wait()
-		report(b, name, took)
+		report(b, name, latencies)
 	}
 }
 
@@ -84,12 +84,12 @@
 		for i := range 20 {
 			leader := c.leader()
 			leader.write(fmt.Sprint(name, "-", i), fmt.Sprint(name, "-", i), 0)
-			began := time.Now()
+			start := time.Now()
 			gone := make(chan struct{})
 			go func() { defer close(gone); end(leader) }()
 			c.eventually("it is off", func() bool { return leader.mux.Load() == nil })
 			c.others(leader)[0].write(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)
-			all = append(all, time.Since(began))
+			all = append(all, time.Since(start))
 			<-gone
 			leader.open()
 			c.eventually("it is back", func() bool {
--- a/internal/cluster/voter/cluster_test.go
+++ b/internal/cluster/voter/cluster_test.go
@@ -45,23 +45,23 @@
 	folder string
 	server *httptest.Server
 	mux    atomic.Pointer[http.ServeMux] // nil while the voter is not open
-	lines  lines
+	logs   logBuffer
 	v      *Voter
 }
 
-type lines struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
 // count tells how often an event was logged.
-func (l *lines) count(event string) int {
+func (l *logBuffer) count(event string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), "msg="+event)
@@ -113,7 +113,7 @@
 }
 
 func (d *node) config() Config {
-	log := slog.New(slog.NewTextHandler(&d.lines, nil))
+	log := slog.New(slog.NewTextHandler(&d.logs, nil))
 	return Config{Cluster: "plant", Name: d.peer.Name, Folder: d.folder, Voters: d.voters, Bounds: record.DefaultBounds(),
 		Domains: []record.Domain{record.Orders()}, Timings: d.c.timings, Log: log, Dial: d.dial, Limits: d.c.limits}
 }
@@ -172,24 +172,24 @@
 // isolate cuts a node off from all others, or ends that.
 func (c *cluster) isolate(d *node, cut bool) {
 	for _, o := range c.nodes {
-		c.part(d, o, cut)
-		c.part(o, d, cut)
+		c.block(d, o, cut)
+		c.block(o, d, cut)
 	}
 }
 
 // part lets nothing through that from asks of to.
-func (c *cluster) part(from, to *node, cut bool) {
+func (c *cluster) block(from, to *node, cut bool) {
 	c.mu.Lock()
-	way := [2]string{from.peer.Name, to.peer.Name}
-	c.cut[way] = cut && from != to
-	var ended []*conn
+	route := [2]string{from.peer.Name, to.peer.Name}
+	c.cut[route] = cut && from != to
+	var blocked []*conn
 	for n := range c.conns {
-		if c.cut[way] && [2]string{n.from, n.to} == way {
-			ended = append(ended, n)
+		if c.cut[route] && [2]string{n.from, n.to} == route {
+			blocked = append(blocked, n)
 		}
 	}
 	c.mu.Unlock()
-	for _, n := range ended {
+	for _, n := range blocked {
 		n.Close()
 	}
 }
@@ -212,13 +212,13 @@
 }
 
 // eventually waits for what no channel tells, a minute at most.
-func (c *cluster) eventually(what string, is func() bool) {
+func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(time.Minute); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			for _, d := range c.nodes {
 				if d.v != nil {
-					c.t.Logf("%+v\n%s", d.v.Status(), d.lines.text.String())
+					c.t.Logf("%+v\n%s", d.v.Status(), d.logs.text.String())
 				}
 			}
 			c.t.Fatalf("never: %s", what)
@@ -227,22 +227,22 @@
 }
 
 // leader waits until one of the nodes leads, and gives it.
-func (c *cluster) leader(of ...*node) *node {
+func (c *cluster) leader(among ...*node) *node {
 	c.t.Helper()
-	if of == nil {
-		of = c.nodes
+	if among == nil {
+		among = c.nodes
 	}
-	var leads *node
+	var found *node
 	c.eventually("a leader", func() bool {
-		for _, d := range of {
+		for _, d := range among {
 			if d.v != nil && d.v.Status().State == "leader" {
-				leads = d
+				found = d
 				return true
 			}
 		}
 		return false
 	})
-	return leads
+	return found
 }
 
 func (c *cluster) others(d *node) (others []*node) {
@@ -254,7 +254,7 @@
 	return others
 }
 
-func order(id, worker string, base record.Version) *record.Write {
+func disableOrder(id, worker string, base record.Version) *record.Write {
 	return &record.Write{ID: id, By: "test", Base: base, Changes: []record.Change{{Kind: record.OrderKind, Key: "worker/" + worker,
 		Value: []byte(`{"do":"disable","by":"test"}`)}}}
 }
@@ -267,7 +267,7 @@
 	d.c.eventually("the write "+id, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		result, err = d.v.Write(ctx, order(id, worker, base))
+		result, err = d.v.Write(ctx, disableOrder(id, worker, base))
 		return err == nil
 	})
 	if result.Outcome != record.Applied || result.ID != id {
@@ -277,7 +277,7 @@
 }
 
 // has waits until a node shows an order.
-func (d *node) has(workers ...string) {
+func (d *node) waitShows(workers ...string) {
 	d.c.t.Helper()
 	d.c.eventually(fmt.Sprintf("%s shows %v", d.peer.Name, workers), func() bool {
 		r := d.v.Replica()
@@ -312,7 +312,7 @@
 }
 
 // ask makes a call between voters by hand.
-func ask(t testing.TB, addr, path string, header http.Header) (status int, text string) {
+func get(t testing.TB, addr, path string, header http.Header) (status int, text string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
--- a/internal/cluster/voter/config.go
+++ b/internal/cluster/voter/config.go
@@ -29,36 +29,36 @@
 // Timings of a voter; zero values stand for the defaults, which suit a local network. All voters of a cluster should have
 // the same.
 type Timings struct {
-	Heartbeat time.Duration // a follower that has heard nothing from its leader for one to two of it asks for an election
-	Election  time.Duration // at most half of the time that one try of an election takes; at least Heartbeat
-	Lease     time.Duration // a leader that has heard from no majority for so long steps down; at most Heartbeat
-	Beat      time.Duration // a leader's heartbeats go out each one to two of it; at most a third of Lease
-	Commit    time.Duration // a follower hears within one to two of it of what was committed, where nothing new is written
-	Stall     time.Duration // a leader one of whose writes to its disk takes longer goes silent until it is done
-	Call      time.Duration // for one call between voters; a snapshot has so much for each 256 KiB
-	Clock     time.Duration // between two clock entries; below 0: none
-	Join      time.Duration // between two tries to form or to be taken in
-	Patience  time.Duration // for a leader, of a write or a consistent read
-	Snapshot  time.Duration // between two looks at whether a snapshot is due, at least
-	Threshold uint64        // entries since the last snapshot that make one due
-	Trailing  uint64        // entries that are kept before it
+	Heartbeat         time.Duration // a follower that has heard nothing from its leader for one to two of it asks for an election
+	Election          time.Duration // at most half of the time that one try of an election takes; at least Heartbeat
+	LeaderLease       time.Duration // a leader that has heard from no majority for so long steps down; at most Heartbeat
+	HeartbeatInterval time.Duration // a leader's heartbeats go out each one to two of it; at most a third of Lease
+	CommitInterval    time.Duration // a follower hears within one to two of it of what was committed, where nothing new is written
+	DiskStall         time.Duration // a leader one of whose writes to its disk takes longer goes silent until it is done
+	CallTimeout       time.Duration // for one call between voters; a snapshot has so much for each 256 KiB
+	Clock             time.Duration // between two clock entries; below 0: none
+	JoinInterval      time.Duration // between two tries to form or to be taken in
+	LeaderWait        time.Duration // for a leader, of a write or a consistent read
+	Snapshot          time.Duration // between two looks at whether a snapshot is due, at least
+	Threshold         uint64        // entries since the last snapshot that make one due
+	Trailing          uint64        // entries that are kept before it
 }
 
 // The defaults of Timings.
 const (
-	DefaultHeartbeat = 400 * time.Millisecond
-	DefaultElection  = 400 * time.Millisecond
-	DefaultLease     = 350 * time.Millisecond
-	DefaultBeat      = 100 * time.Millisecond
-	DefaultCommit    = 100 * time.Millisecond
-	DefaultStall     = 2 * time.Second
-	DefaultCall      = 2 * time.Second
-	DefaultClock     = time.Second
-	DefaultJoin      = 250 * time.Millisecond
-	DefaultPatience  = 3 * time.Second
-	DefaultSnapshot  = 30 * time.Second
-	DefaultThreshold = 8192
-	DefaultTrailing  = 8192
+	DefaultHeartbeat         = 400 * time.Millisecond
+	DefaultElection          = 400 * time.Millisecond
+	DefaultLeaderLease       = 350 * time.Millisecond
+	DefaultHeartbeatInterval = 100 * time.Millisecond
+	DefaultCommitInterval    = 100 * time.Millisecond
+	DefaultDiskStall         = 2 * time.Second
+	DefaultCallTimeout       = 2 * time.Second
+	DefaultClockInterval     = time.Second
+	DefaultJoinInterval      = 250 * time.Millisecond
+	DefaultLeaderWait        = 3 * time.Second
+	DefaultSnapshot          = 30 * time.Second
+	DefaultThreshold         = 8192
+	DefaultTrailing          = 8192
 )
 
 // Config of a Voter.
@@ -83,11 +83,11 @@
 	Now func() time.Time
 }
 
-const maxName = 64
+const maxNameBytes = 64
 
-func (c *Config) check() error {
-	if c.Cluster == "" || len(c.Cluster) > maxName {
-		return fmt.Errorf("cluster: the name %q must have 1 to %d bytes", c.Cluster, maxName)
+func (c *Config) validate() error {
+	if c.Cluster == "" || len(c.Cluster) > maxNameBytes {
+		return fmt.Errorf("cluster: the name %q must have 1 to %d bytes", c.Cluster, maxNameBytes)
 	}
 	switch len(c.Voters) {
 	case 1, 3, 5, 7:
@@ -96,8 +96,8 @@
 	}
 	seen := map[string]bool{}
 	for i, p := range c.Voters {
-		if p.Name == "" || len(p.Name) > maxName || strings.ContainsAny(p.Name, "/ \t\r\n") {
-			return fmt.Errorf("voters[%d].name: %q must have 1 to %d bytes without slashes and spaces", i, p.Name, maxName)
+		if p.Name == "" || len(p.Name) > maxNameBytes || strings.ContainsAny(p.Name, "/ \t\r\n") {
+			return fmt.Errorf("voters[%d].name: %q must have 1 to %d bytes without slashes and spaces", i, p.Name, maxNameBytes)
 		}
 		if _, _, err := net.SplitHostPort(p.Addr); err != nil {
 			return fmt.Errorf("voters[%d].addr: %w", i, err)
@@ -112,16 +112,16 @@
 	}
 	t := &c.Timings
 	t.Heartbeat = cmp.Or(t.Heartbeat, DefaultHeartbeat)
-	t.Election, t.Lease = cmp.Or(t.Election, max(DefaultElection, t.Heartbeat)), cmp.Or(t.Lease, min(DefaultLease, t.Heartbeat))
-	t.Beat = cmp.Or(t.Beat, min(DefaultBeat, t.Lease/3))
-	t.Commit, t.Call, t.Stall = cmp.Or(t.Commit, DefaultCommit), cmp.Or(t.Call, DefaultCall), cmp.Or(t.Stall, DefaultStall)
-	t.Clock, t.Join, t.Patience = cmp.Or(t.Clock, DefaultClock), cmp.Or(t.Join, DefaultJoin), cmp.Or(t.Patience, DefaultPatience)
+	t.Election, t.LeaderLease = cmp.Or(t.Election, max(DefaultElection, t.Heartbeat)), cmp.Or(t.LeaderLease, min(DefaultLeaderLease, t.Heartbeat))
+	t.HeartbeatInterval = cmp.Or(t.HeartbeatInterval, min(DefaultHeartbeatInterval, t.LeaderLease/3))
+	t.CommitInterval, t.CallTimeout, t.DiskStall = cmp.Or(t.CommitInterval, DefaultCommitInterval), cmp.Or(t.CallTimeout, DefaultCallTimeout), cmp.Or(t.DiskStall, DefaultDiskStall)
+	t.Clock, t.JoinInterval, t.LeaderWait = cmp.Or(t.Clock, DefaultClockInterval), cmp.Or(t.JoinInterval, DefaultJoinInterval), cmp.Or(t.LeaderWait, DefaultLeaderWait)
 	t.Snapshot = cmp.Or(t.Snapshot, DefaultSnapshot)
 	t.Threshold, t.Trailing = cmp.Or(t.Threshold, DefaultThreshold), cmp.Or(t.Trailing, DefaultTrailing)
-	if t.Lease > t.Heartbeat || t.Heartbeat > t.Election {
+	if t.LeaderLease > t.Heartbeat || t.Heartbeat > t.Election {
 		return errors.New("timings: lease, heartbeat and election must not get shorter in this order")
 	}
-	if t.Beat < 0 || t.Beat > t.Lease/3 {
+	if t.HeartbeatInterval < 0 || t.HeartbeatInterval > t.LeaderLease/3 {
 		return errors.New("timings: a beat must be at most a third of the lease")
 	}
 	if c.Log == nil {
@@ -147,7 +147,7 @@
 }
 
 // listed is the same for all voters that go by the same list in the same order.
-func (c *Config) listed() string {
+func (c *Config) votersHash() string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n", c.Cluster)
 	for _, p := range c.Voters {
@@ -156,4 +156,4 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-func (c *Config) first() bool { return c.Voters[0].Name == c.Name }
+func (c *Config) isFirst() bool { return c.Voters[0].Name == c.Name }
--- a/internal/cluster/voter/damage_test.go
+++ b/internal/cluster/voter/damage_test.go
@@ -15,16 +15,16 @@
 )
 
 // isFailed waits until a node has failed, and checks what it then says.
-func (d *node) isFailed(why string) {
+func (d *node) waitFailed(why string) {
 	d.c.t.Helper()
 	d.c.eventually(d.peer.Name+" has failed", func() bool { return d.v.Status().State == "failed" })
 	if s := d.v.Status(); !strings.Contains(s.Fault, why) || strings.Contains(s.Fault, "\n") {
 		d.c.t.Fatalf("%q, and %q is expected", s.Fault, why)
 	}
-	if n := d.lines.count("cluster_disk"); n != 1 {
+	if n := d.logs.count("cluster_disk"); n != 1 {
 		d.c.t.Fatalf("%d lines", n)
 	}
-	if _, err := d.v.Write(context.Background(), order("x", "x", 0)); !errors.Is(err, api.ErrRefused) {
+	if _, err := d.v.Write(context.Background(), disableOrder("x", "x", 0)); !errors.Is(err, api.ErrRefused) {
 		d.c.t.Fatal(err)
 	}
 	for _, consistent := range []bool{true, false} {
@@ -35,12 +35,12 @@
 }
 
 // TestFlippedEntry flips a bit of an entry on a closed voter's disk. It takes no part any more, and the others go on.
-func TestFlippedEntry(t *testing.T) {
+func TestCorruptEntry(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	c.nodes[0].write("a", "the-worker-in-question", 0)
 	d := c.others(c.leader())[0]
-	d.has("the-worker-in-question")
+	d.waitShows("the-worker-in-question")
 	d.close()
 	path := filepath.Join(d.folder, "raft.db")
 	b, err := os.ReadFile(path)
@@ -55,20 +55,20 @@
 		t.Fatal(err)
 	}
 	d.open()
-	d.isFailed("checksum")
+	d.waitFailed("checksum")
 	others := c.others(d)
 	others[0].write("b", "w", 0)
-	others[1].has("w")
+	others[1].waitShows("w")
 	// An emptied folder is the way back.
 	d.close()
 	d.wipe()
 	d.open()
-	c.votes(d, others...)
-	d.has("the-worker-in-question", "w")
+	c.waitVoter(d, others...)
+	d.waitShows("the-worker-in-question", "w")
 }
 
 // TestDiskTakesNoMore has the disks of a follower and then of the leader refuse to write, while the process lives on.
-func TestDiskTakesNoMore(t *testing.T) {
+func TestDiskFull(t *testing.T) {
 	full := func(op string) error {
 		if strings.HasPrefix(op, "write") {
 			return errors.New("no space left on device")
@@ -81,12 +81,12 @@
 	follower := c.others(leader)[0]
 	follower.v.disk.Store.Interpose(full)
 	leader.write("a", "w1", 0)
-	follower.isFailed("no space left")
+	follower.waitFailed("no space left")
 	leader.v.disk.Store.Interpose(full)
-	if _, err := leader.v.Write(context.Background(), order("b", "w2", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
+	if _, err := leader.v.Write(context.Background(), disableOrder("b", "w2", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
 		t.Fatal(err)
 	}
-	leader.isFailed("no space left")
+	leader.waitFailed("no space left")
 	for _, d := range c.nodes {
 		if d != leader && d != follower {
 			d.write("b", "w2", 0)
@@ -100,34 +100,34 @@
 // TestLeadersDiskHangs has a write to the leader's disk hang: another voter leads, and it follows once the disk is back.
 func TestLeadersDiskHangs(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{Stall: 200 * time.Millisecond, Heartbeat: time.Second, Lease: time.Second} // a busy machine elects nobody before
+	c.timings = Timings{DiskStall: 200 * time.Millisecond, Heartbeat: time.Second, LeaderLease: time.Second} // a busy machine elects nobody before
 	c.open()
 	leader := c.leader()
-	back := make(chan struct{})
+	resume := make(chan struct{})
 	leader.v.disk.Store.Interpose(func(op string) error {
 		if strings.HasPrefix(op, "write") {
-			<-back
+			<-resume
 		}
 		return nil
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := leader.v.Write(ctx, order("a", "w", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
+	if _, err := leader.v.Write(ctx, disableOrder("a", "w", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
 		t.Error(err)
 	}
-	c.eventually("the leader says that its disk hangs", func() bool { return leader.lines.count("cluster_disk_slow") > 0 })
+	c.eventually("the leader says that its disk hangs", func() bool { return leader.logs.count("cluster_disk_slow") > 0 })
 	others := c.others(leader)
 	c.leader(others...)
 	others[0].write("b", "w2", 0)
-	close(back)
-	leader.has("w2")
-	if n := leader.lines.count("cluster_disk_slow"); n != 1 {
+	close(resume)
+	leader.waitShows("w2")
+	if n := leader.logs.count("cluster_disk_slow"); n != 1 {
 		t.Fatalf("%d lines", n)
 	}
 }
 
 // TestElectionOnABadDisk has a voter's disk fail where raft itself would panic: when it keeps a new term.
-func TestElectionOnABadDisk(t *testing.T) {
+func TestDiskFailsDuringElection(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	leader := c.leader()
@@ -139,27 +139,27 @@
 		return nil
 	})
 	leader.kill()
-	bad.isFailed("input/output error")
+	bad.waitFailed("input/output error")
 	leader.open()
 	good.write("a", "w", 0)
 }
 
 // TestNewerFormat has an entry in the log that this program does not read.
-func TestNewerFormat(t *testing.T) {
+func TestNewerEntryFormat(t *testing.T) {
 	c := newCluster(t, 1)
 	c.open()
 	d := c.nodes[0]
 	d.write("a", "w", 0)
-	if _, err := d.v.propose(context.Background(), d.v.running(), []byte(`{"f":99,"write":{}}`)); !errors.Is(err, api.ErrUnknown) {
+	if _, err := d.v.propose(context.Background(), d.v.currentRun(), []byte(`{"f":99,"write":{}}`)); !errors.Is(err, api.ErrUnknown) {
 		t.Fatal(err)
 	}
-	d.isFailed("format 99")
+	d.waitFailed("format 99")
 	d.close()
-	d.lines.mu.Lock()
-	d.lines.text.Reset()
-	d.lines.mu.Unlock()
+	d.logs.mu.Lock()
+	d.logs.text.Reset()
+	d.logs.mu.Unlock()
 	d.open() // again it stops there
-	d.isFailed("format 99")
+	d.waitFailed("format 99")
 	if r := d.v.Replica(); r != nil && r.View().Version() < record.Version(1) {
 		t.Fatal("it shows an older state")
 	}
--- a/internal/cluster/voter/disk/disk.go
+++ b/internal/cluster/voter/disk/disk.go
@@ -26,7 +26,7 @@
 	newSuffix    = ".new"
 )
 
-const lockWait = time.Second // for a process that is just ending
+const lockTimeout = time.Second // for a process that is just ending
 
 // ErrDamaged says that the disk gives back something else than was written, or takes no more.
 var ErrDamaged = errors.New("damaged")
@@ -49,17 +49,17 @@
 	}
 	d := &Disk{folder: folder}
 	var err error
-	if d.lock, err = takeLock(filepath.Join(folder, lockFile)); err != nil {
+	if d.lock, err = acquireLock(filepath.Join(folder, lockFile)); err != nil {
 		return nil, err
 	}
-	if err := d.load(cluster, voter); err != nil {
+	if err := d.loadIdentity(cluster, voter); err != nil {
 		d.Close()
 		return nil, err
 	}
 	if d.Store, err = openStore(filepath.Join(folder, logFile)); err != nil {
 		return d, err
 	}
-	if err = syncFolder(folder); err != nil { // the log's own entry in the folder
+	if err = syncDir(folder); err != nil { // the log's own entry in the folder
 		return d, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if d.Snapshots, err = openSnapshots(folder, log); err != nil {
@@ -87,17 +87,17 @@
 }
 
 // takeLock holds a file as long as it is open: also against another Disk of the same process.
-func takeLock(path string) (*os.File, error) {
+func acquireLock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for since := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return f, nil
 		}
-		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) || time.Since(since) > lockWait {
+		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) || time.Since(start) > lockTimeout {
 			f.Close()
 			return nil, fmt.Errorf("%s: another process uses this folder: %w", path, err)
 		}
@@ -105,14 +105,14 @@
 }
 
 // load reads the identity or draws one where the folder is empty.
-func (d *Disk) load(cluster, voter string) error {
+func (d *Disk) loadIdentity(cluster, voter string) error {
 	path := filepath.Join(d.folder, identityFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		if err := d.empty(); err != nil {
+		if err := d.checkEmpty(); err != nil {
 			return err
 		}
-		return d.keep(draw(cluster, voter))
+		return d.saveIdentity(newIdentity(cluster, voter))
 	}
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 }
 
 // empty refuses a folder that holds a log without an identity, or anything that is not a voter's.
-func (d *Disk) empty() error {
+func (d *Disk) checkEmpty() error {
 	entries, err := os.ReadDir(d.folder)
 	if err != nil {
 		return err
@@ -157,18 +157,18 @@
 func (d *Disk) SetCluster(id string) error {
 	i := d.Identity()
 	i.Cluster = id
-	return d.keep(i)
+	return d.saveIdentity(i)
 }
 
 // SetVoted keeps durably that this identity has had a vote: from then on it never asks to be taken in.
 func (d *Disk) SetVoted() error {
 	i := d.Identity()
 	i.Voted = true
-	return d.keep(i)
+	return d.saveIdentity(i)
 }
 
-func (d *Disk) keep(i Identity) error {
-	if err := writeFile(filepath.Join(d.folder, identityFile), i.format()); err != nil {
+func (d *Disk) saveIdentity(i Identity) error {
+	if err := writeFile(filepath.Join(d.folder, identityFile), i.encode()); err != nil {
 		return err
 	}
 	d.identity.Store(&i)
@@ -192,12 +192,12 @@
 		err = os.Rename(path+newSuffix, path)
 	}
 	if err == nil {
-		err = syncFolder(filepath.Dir(path))
+		err = syncDir(filepath.Dir(path))
 	}
 	return err
 }
 
-func syncFolder(folder string) error {
+func syncDir(folder string) error {
 	f, err := os.Open(folder)
 	if err != nil {
 		return err
--- a/internal/cluster/voter/disk/disk_test.go
+++ b/internal/cluster/voter/disk/disk_test.go
@@ -24,7 +24,7 @@
 	return d
 }
 
-func fill(t *testing.T, d *Disk, n uint64) {
+func appendEntries(t *testing.T, d *Disk, n uint64) {
 	t.Helper()
 	for i := uint64(1); i <= n; i++ {
 		l := &raft.Log{Index: i, Term: 3, Type: raft.LogCommand, Data: fmt.Appendf(nil, "the entry number %d", i)}
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestIdentityStays(t *testing.T) {
+func TestIdentityPersists(t *testing.T) {
 	folder := t.TempDir()
 	d := open(t, folder)
 	id := d.Identity()
@@ -61,8 +61,8 @@
 	}
 }
 
-func TestFoldersRefused(t *testing.T) {
-	of := func(change func(folder string)) string {
+func TestOpenRefusesFolder(t *testing.T) {
+	newFolder := func(change func(folder string)) string {
 		folder := t.TempDir()
 		d := open(t, folder)
 		if err := errors.Join(d.SetCluster(NewID()), d.Close()); err != nil {
@@ -91,12 +91,12 @@
 		{filepath.Join(t.TempDir(), "none"), "missing"},
 		{filepath.Join(foreign, "photos.tar"), "not a folder"},
 		{foreign, "photos.tar: the folder holds something else"},
-		{of(rewrite(`"plant"`, `"other"`)), `belongs to the cluster "other"`},
-		{of(rewrite(`"v1"`, `"v2"`)), `belongs to the voter "v2"`},
-		{of(rewrite(`"format": 1`, `"format": 2`)), "format 2, and this program reads 1"},
-		{of(rewrite(`"voted"`, `"noted"`)), "not a voter's identity"},
-		{of(remove(identityFile)), "a log without an identity"},
-		{of(remove(logFile)), "missing beside the identity"},
+		{newFolder(rewrite(`"plant"`, `"other"`)), `belongs to the cluster "other"`},
+		{newFolder(rewrite(`"v1"`, `"v2"`)), `belongs to the voter "v2"`},
+		{newFolder(rewrite(`"format": 1`, `"format": 2`)), "format 2, and this program reads 1"},
+		{newFolder(rewrite(`"voted"`, `"noted"`)), "not a voter's identity"},
+		{newFolder(remove(identityFile)), "a log without an identity"},
+		{newFolder(remove(logFile)), "missing beside the identity"},
 	} {
 		_, err := Open(c.folder, "plant", "v1", hclog.NewNullLogger())
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "/") {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestVoteIsOneValue(t *testing.T) {
+func TestVoteIsAtomic(t *testing.T) {
 	folder := t.TempDir()
 	d := open(t, folder)
 	vote := func(term uint64, cand string) {
@@ -128,10 +128,10 @@
 }
 
 // filled makes a disk with 20 entries, a snapshot of the first 10 and a vote, and closes it.
-func filled(t *testing.T) (folder string, held Held) {
+func newFilledFolder(t *testing.T) (folder string, contents Contents) {
 	folder = t.TempDir()
 	d := open(t, folder)
-	fill(t, d, 20)
+	appendEntries(t, d, 20)
 	sink, err := d.Snapshots.Create(1, 10, 3, raft.Configuration{}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -142,17 +142,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held, err = d.Check(); err != nil || held != (Held{Last: 20, Term: 3, Commands: 10}) {
-		t.Fatal(held, err)
+	if contents, err = d.Check(); err != nil || contents != (Contents{Last: 20, Term: 3, Commands: 10}) {
+		t.Fatal(contents, err)
 	}
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return folder, held
+	return folder, contents
 }
 
 // look opens a folder whose file was changed: all must be as it was, or an ErrDamaged name the place.
-func look(t *testing.T, folder, what string, held Held) (damaged bool) {
+func checkDamage(t *testing.T, folder, what string, contents Contents) (damaged bool) {
 	t.Helper()
 	d, err := Open(folder, "plant", "v1", hclog.NewNullLogger())
 	if d == nil {
@@ -160,12 +160,12 @@
 	}
 	defer d.Close()
 	if err == nil {
-		var now Held
+		var now Contents
 		if now, err = d.Check(); err == nil {
 			term, _ := d.Store.GetUint64([]byte(keyVoteTerm))
 			cand, _ := d.Store.Get([]byte(keyVoteCand))
-			if now != held || term != 3 || string(cand) != "a candidate" {
-				t.Fatalf("%s: not seen: %+v after %+v, a vote in %d for %q", what, now, held, term, cand)
+			if now != contents || term != 3 || string(cand) != "a candidate" {
+				t.Fatalf("%s: not seen: %+v after %+v, a vote in %d for %q", what, now, contents, term, cand)
 			}
 			return false
 		}
@@ -176,23 +176,23 @@
 	return true
 }
 
-func TestDamageIsSeen(t *testing.T) {
+func TestDamageIsDetected(t *testing.T) {
 	page := os.Getpagesize()
-	at := func(i int) func([]byte) []byte { return func(b []byte) []byte { b[i] ^= 4; return b } }
+	flipBit := func(i int) func([]byte) []byte { return func(b []byte) []byte { b[i] ^= 4; return b } }
 	for name, c := range map[string]struct {
 		file   string
 		change func([]byte) []byte
 	}{
-		"the first meta page":     {logFile, at(metaAt + 50)},
-		"the second meta page":    {logFile, at(page + metaAt + 50)},
+		"the first meta page":     {logFile, flipBit(metaOffset + 50)},
+		"the second meta page":    {logFile, flipBit(page + metaOffset + 50)},
 		"the log is cut":          {logFile, func(b []byte) []byte { return b[:3*page] }},
 		"pages of zeros":          {logFile, func(b []byte) []byte { clear(b[2*page:]); return b }},
-		"a snapshot":              {"state.bin", at(5)},
+		"a snapshot":              {"state.bin", flipBit(5)},
 		"a snapshot is cut":       {"state.bin", func(b []byte) []byte { return b[:5] }},
 		"a snapshot's own record": {"meta.json", func(b []byte) []byte { return b[:20] }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			folder, held := filled(t)
+			folder, contents := newFilledFolder(t)
 			path := filepath.Join(folder, c.file)
 			if c.file != logFile {
 				files, _ := filepath.Glob(filepath.Join(folder, snapshotsDir, "*", c.file))
@@ -205,7 +205,7 @@
 			if err := os.WriteFile(path, c.change(b), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if !look(t, folder, name, held) {
+			if !checkDamage(t, folder, name, contents) {
 				t.Fatal("not seen")
 			}
 		})
@@ -214,7 +214,7 @@
 
 // TestFlippedBits flips one bit of the log's file at a time, anywhere in it.
 func TestFlippedBits(t *testing.T) {
-	folder, held := filled(t)
+	folder, contents := newFilledFolder(t)
 	path := filepath.Join(folder, logFile)
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -223,7 +223,7 @@
 	used := whole[:len(bytes.TrimRight(whole, "\x00"))+1]
 	const seed, times = 1, 300
 	r := rand.New(rand.NewPCG(seed, 0))
-	seen := 0
+	detected := 0
 	for i := range times {
 		bit := r.IntN(8 * len(used))
 		b := bytes.Clone(used)
@@ -236,20 +236,20 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if look(t, folder, fmt.Sprintf("flip %d, bit %d of byte %d", i, bit%8, bit/8), held) {
-			seen++
+		if checkDamage(t, folder, fmt.Sprintf("flip %d, bit %d of byte %d", i, bit%8, bit/8), contents) {
+			detected++
 		}
 	}
-	if seen == 0 {
+	if detected == 0 {
 		t.Fatal("no flip was seen")
 	}
-	t.Logf("%d of %d flips were seen, the others had no effect", seen, times)
+	t.Logf("%d of %d flips were seen, the others had no effect", detected, times)
 }
 
 func TestFaultIsReported(t *testing.T) {
 	d := open(t, t.TempDir())
 	defer d.Close()
-	fill(t, d, 3)
+	appendEntries(t, d, 3)
 	var reported error
 	d.Store.OnFault(func(err error) { reported = err })
 	if err := d.Store.GetLog(9, &raft.Log{}); err != raft.ErrLogNotFound || reported != nil {
--- a/internal/cluster/voter/disk/identity.go
+++ b/internal/cluster/voter/disk/identity.go
@@ -35,11 +35,11 @@
 	return err == nil && len(b) == 16 && id == strings.ToLower(id)
 }
 
-func draw(cluster, voter string) Identity {
+func newIdentity(cluster, voter string) Identity {
 	return Identity{Format: identityFormat, ClusterName: cluster, Voter: voter, Identity: NewID()}
 }
 
-func (i Identity) format() []byte {
+func (i Identity) encode() []byte {
 	text, _ := json.MarshalIndent(i, "", "  ") // texts and numbers
 	return append(text, '\n')
 }
--- a/internal/cluster/voter/disk/snapshots.go
+++ b/internal/cluster/voter/disk/snapshots.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	retained  = 2
-	tmpSuffix = ".tmp" // of a snapshot that is being written
+	retainedSnapshots = 2
+	tmpSuffix         = ".tmp" // of a snapshot that is being written
 )
 
 // Snapshots is raft's own store of snapshot files, whose faults go to the function set by OnFault.
 type Snapshots struct {
-	files *raft.FileSnapshotStore
-	fault atomic.Pointer[func(error)]
-	path  string
+	files   *raft.FileSnapshotStore
+	onFault atomic.Pointer[func(error)]
+	path    string
 }
 
 func openSnapshots(folder string, log hclog.Logger) (*Snapshots, error) {
@@ -32,7 +32,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
 	}
-	files, err := raft.NewFileSnapshotStoreWithLogger(folder, retained, log)
+	files, err := raft.NewFileSnapshotStoreWithLogger(folder, retainedSnapshots, log)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, path, err)
 	}
@@ -40,11 +40,11 @@
 }
 
 // OnFault sets what is called where the disk fails. It may return: raft takes a failed snapshot as such.
-func (s *Snapshots) OnFault(f func(error)) { s.fault.Store(&f) }
+func (s *Snapshots) OnFault(f func(error)) { s.onFault.Store(&f) }
 
-func (s *Snapshots) failed(op string, err error) error {
+func (s *Snapshots) reportFault(op string, err error) error {
 	err = fmt.Errorf("%w: %s: %s: %w", ErrDamaged, s.path, op, err)
-	if report := s.fault.Load(); report != nil {
+	if report := s.onFault.Load(); report != nil {
 		(*report)(err)
 	}
 	return err
@@ -54,7 +54,7 @@
 func (s *Snapshots) Create(v raft.SnapshotVersion, index, term uint64, c raft.Configuration, ci uint64, t raft.Transport) (raft.SnapshotSink, error) {
 	k, err := s.files.Create(v, index, term, c, ci, t)
 	if err != nil {
-		return nil, s.failed("begin a snapshot", err)
+		return nil, s.reportFault("begin a snapshot", err)
 	}
 	return &sink{k, s}, nil
 }
@@ -63,20 +63,20 @@
 func (s *Snapshots) List() ([]*raft.SnapshotMeta, error) {
 	entries, err := os.ReadDir(s.path) // first: until the next line there may come more, and the oldest may go
 	if err != nil {
-		return nil, s.failed("list snapshots", err)
+		return nil, s.reportFault("list snapshots", err)
 	}
 	all, err := s.files.List()
 	if err != nil {
-		return nil, s.failed("list snapshots", err)
+		return nil, s.reportFault("list snapshots", err)
 	}
-	there := 0
+	complete := 0
 	for _, e := range entries {
 		if e.IsDir() && !strings.HasSuffix(e.Name(), tmpSuffix) {
-			there++
+			complete++
 		}
 	}
-	if len(all) < min(there, retained) {
-		return nil, s.failed("list snapshots", fmt.Errorf("%d of %d do not read", there-len(all), there))
+	if len(all) < min(complete, retainedSnapshots) {
+		return nil, s.reportFault("list snapshots", fmt.Errorf("%d of %d do not read", complete-len(all), complete))
 	}
 	return all, nil
 }
@@ -90,7 +90,7 @@
 		}
 	}
 	if err != nil {
-		return nil, nil, s.failed("read "+id, err)
+		return nil, nil, s.reportFault("read "+id, err)
 	}
 	return m, r, nil
 }
@@ -103,14 +103,14 @@
 func (k *sink) Write(b []byte) (int, error) {
 	n, err := k.SnapshotSink.Write(b)
 	if err != nil {
-		err = k.s.failed("write a snapshot", err)
+		err = k.s.reportFault("write a snapshot", err)
 	}
 	return n, err
 }
 
 func (k *sink) Close() error {
 	if err := k.SnapshotSink.Close(); err != nil {
-		return k.s.failed("finish a snapshot", err)
+		return k.s.reportFault("finish a snapshot", err)
 	}
 	return nil
 }
--- a/internal/cluster/voter/disk/store.go
+++ b/internal/cluster/voter/disk/store.go
@@ -18,10 +18,10 @@
 
 // The keys under which hashicorp/raft keeps its term and vote, and the one under which they are kept here.
 const (
-	keyTerm     = "CurrentTerm"
-	keyVoteTerm = "LastVoteTerm"
-	keyVoteCand = "LastVoteCand"
-	keyKept     = "kept"
+	keyTerm        = "CurrentTerm"
+	keyVoteTerm    = "LastVoteTerm"
+	keyVoteCand    = "LastVoteCand"
+	keyTermAndVote = "kept"
 )
 
 // Store keeps raft's log, term and vote in a bbolt file, each entry with a CRC32C. Term and vote are one value with another:
@@ -32,24 +32,24 @@
 // raft panics where its store fails. So the store hands every fault to the function set by OnFault, which is expected
 // not to return.
 type Store struct {
-	bolt   *raftboltdb.BoltStore
-	path   string
-	fault  atomic.Pointer[func(error)]
-	before atomic.Pointer[func(op string) error]
-	ahead  atomic.Pointer[ahead] // nil for none
+	bolt      *raftboltdb.BoltStore
+	path      string
+	onFault   atomic.Pointer[func(error)]
+	hook      atomic.Pointer[func(op string) error]
+	preloaded atomic.Pointer[preloaded] // nil for none
 
-	busy    sync.Mutex
-	writers int
-	since   time.Time // with writers: when the first of them began
+	writersMu    sync.Mutex
+	writers      int
+	writingSince time.Time // with writers: when the first of them began
 
 	mu       sync.Mutex
-	kept     kept
+	saved    termAndVote
 	voteTerm uint64 // set by raft, and kept with its candidate
 }
 
 func openStore(path string) (*Store, error) {
 	s := &Store{path: path}
-	err := checkMetas(path)
+	err := checkMetaPages(path)
 	if err == nil {
 		err = checkKeys(path)
 	}
@@ -64,39 +64,39 @@
 
 func (s *Store) open() (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer caught(&err)
+	defer recoverFault(&err)
 	s.bolt, err = raftboltdb.New(raftboltdb.Options{Path: s.path, BoltOptions: &bbolt.Options{
 		// The list of free pages is written too: to make it anew bbolt walks over all pages in a goroutine of its own, and
 		// panics there.
-		Timeout: lockWait, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20,
+		Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20,
 	}})
 	if err == nil {
-		err = s.loadKept()
+		err = s.loadTermAndVote()
 	}
 	return err
 }
 
 // caught makes an error of a panic: bbolt panics on pages that make no sense, and a mapped file that is shorter than it was
 // faults.
-func caught(err *error) {
+func recoverFault(err *error) {
 	if v := recover(); v != nil {
 		*err = fmt.Errorf("%v", v)
 	}
 }
 
 // OnFault sets what is called, in the caller's goroutine, where the disk fails.
-func (s *Store) OnFault(f func(error)) { s.fault.Store(&f) }
+func (s *Store) OnFault(f func(error)) { s.onFault.Store(&f) }
 
 // Interpose has a function called before every operation, whose error the operation then has: for tests of what comes above.
-func (s *Store) Interpose(f func(op string) error) { s.before.Store(&f) }
+func (s *Store) Interpose(f func(op string) error) { s.hook.Store(&f) }
 
 // do runs one operation. Errors in pass are raft's own business.
-func (s *Store) do(op string, f func() error, pass ...error) error {
+func (s *Store) do(op string, f func() error, expected ...error) error {
 	err := func() (err error) {
 		defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-		defer caught(&err)
-		if before := s.before.Load(); before != nil {
-			if err := (*before)(op); err != nil {
+		defer recoverFault(&err)
+		if hook := s.hook.Load(); hook != nil {
+			if err := (*hook)(op); err != nil {
 				return err
 			}
 		}
@@ -105,13 +105,13 @@
 	if err == nil {
 		return nil
 	}
-	for _, p := range pass {
+	for _, p := range expected {
 		if errors.Is(err, p) {
 			return err
 		}
 	}
 	err = fmt.Errorf("%w: %s: %s: %w", ErrDamaged, s.path, op, err)
-	if report := s.fault.Load(); report != nil {
+	if report := s.onFault.Load(); report != nil {
 		(*report)(err)
 	}
 	return err
@@ -119,27 +119,27 @@
 
 // write is do for what changes the file.
 func (s *Store) write(op string, f func() error) error {
-	s.busy.Lock()
+	s.writersMu.Lock()
 	if s.writers++; s.writers == 1 {
-		s.since = time.Now()
+		s.writingSince = time.Now()
 	}
-	s.busy.Unlock()
+	s.writersMu.Unlock()
 	defer func() {
-		s.busy.Lock()
+		s.writersMu.Lock()
 		s.writers--
-		s.busy.Unlock()
+		s.writersMu.Unlock()
 	}()
 	return s.do(op, f)
 }
 
-// Writing tells for how long a write has been under way; 0 for none.
-func (s *Store) Writing() time.Duration {
-	s.busy.Lock()
-	defer s.busy.Unlock()
+// CurrentWriteTime returns how long the oldest write in progress has been running, or 0 if there is none.
+func (s *Store) CurrentWriteTime() time.Duration {
+	s.writersMu.Lock()
+	defer s.writersMu.Unlock()
 	if s.writers == 0 {
 		return 0
 	}
-	return time.Since(s.since)
+	return time.Since(s.writingSince)
 }
 
 // IsMonotonic tells raft that the log has no gaps: after a whole state it drops all that it had.
@@ -159,7 +159,7 @@
 
 // GetLog implements raft.LogStore. An entry that is missing between others is a fault.
 func (s *Store) GetLog(index uint64, l *raft.Log) error {
-	if s.ahead.Load().get(index, l) {
+	if s.preloaded.Load().get(index, l) {
 		return nil
 	}
 	return s.do("read an entry", func() error {
@@ -168,7 +168,7 @@
 		} else if err != nil {
 			return fmt.Errorf("entry %d: %w", index, err)
 		}
-		return unseal(index, l)
+		return stripChecksum(index, l)
 	}, raft.ErrLogNotFound)
 }
 
@@ -192,28 +192,28 @@
 
 // StoreLogs implements raft.LogStore. The entries are not changed: raft sends them on.
 func (s *Store) StoreLogs(logs []*raft.Log) error {
-	if a := s.ahead.Load(); a != nil && len(logs) > 0 && logs[0].Index < a.first+uint64(len(a.logs)) {
-		s.Release()
+	if a := s.preloaded.Load(); a != nil && len(logs) > 0 && logs[0].Index < a.first+uint64(len(a.logs)) {
+		s.ReleasePreloaded()
 	}
-	sealed := make([]raft.Log, len(logs))
+	withChecksums := make([]raft.Log, len(logs))
 	refs := make([]*raft.Log, len(logs))
 	for i, l := range logs {
-		sealed[i] = *l
-		sealed[i].Extensions = binary.LittleEndian.AppendUint32(bytes.Clone(l.Extensions), sum(l.Index, l, l.Extensions))
-		refs[i] = &sealed[i]
+		withChecksums[i] = *l
+		withChecksums[i].Extensions = binary.LittleEndian.AppendUint32(bytes.Clone(l.Extensions), checksum(l.Index, l, l.Extensions))
+		refs[i] = &withChecksums[i]
 	}
 	return s.write("write entries", func() error { return s.bolt.StoreLogs(refs) })
 }
 
 // DeleteRange implements raft.LogStore.
 func (s *Store) DeleteRange(from, to uint64) error {
-	s.Release()
+	s.ReleasePreloaded()
 	return s.write("delete entries", func() error { return s.bolt.DeleteRange(from, to) })
 }
 
-func unseal(index uint64, l *raft.Log) error {
+func stripChecksum(index uint64, l *raft.Log) error {
 	n := len(l.Extensions) - 4
-	if n < 0 || l.Index != index || binary.LittleEndian.Uint32(l.Extensions[n:]) != sum(index, l, l.Extensions[:n]) {
+	if n < 0 || l.Index != index || binary.LittleEndian.Uint32(l.Extensions[n:]) != checksum(index, l, l.Extensions[:n]) {
 		return fmt.Errorf("entry %d has another checksum than it was written with", index)
 	}
 	if l.Extensions = l.Extensions[:n:n]; n == 0 {
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func sum(index uint64, l *raft.Log, extensions []byte) uint32 {
+func checksum(index uint64, l *raft.Log, extensions []byte) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
 	head := binary.LittleEndian.AppendUint64(nil, index)
 	head = binary.LittleEndian.AppendUint64(head, l.Term)
@@ -232,45 +232,45 @@
 }
 
 // kept is what raft keeps beside the log, in one value.
-type kept struct {
+type termAndVote struct {
 	term, voteTerm uint64
 	candidate      []byte // of the vote in voteTerm; nil for none
 }
 
-func (k kept) encode() []byte {
+func (k termAndVote) encode() []byte {
 	b := binary.LittleEndian.AppendUint64(nil, k.term)
 	b = append(binary.LittleEndian.AppendUint64(b, k.voteTerm), k.candidate...)
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-func decodeKept(b []byte) (k kept, err error) {
+func decodeTermAndVote(b []byte) (k termAndVote, err error) {
 	n := len(b) - 4
 	if n < 16 || binary.LittleEndian.Uint32(b[n:]) != crc32.Checksum(b[:n], crc32.MakeTable(crc32.Castagnoli)) {
 		return k, errors.New("the votes have another checksum than they were written with")
 	}
-	k = kept{term: binary.LittleEndian.Uint64(b), voteTerm: binary.LittleEndian.Uint64(b[8:])}
+	k = termAndVote{term: binary.LittleEndian.Uint64(b), voteTerm: binary.LittleEndian.Uint64(b[8:])}
 	if n > 16 {
 		k.candidate = b[16:n]
 	}
 	return k, nil
 }
 
-func (s *Store) loadKept() error {
-	b, err := s.bolt.Get([]byte(keyKept))
+func (s *Store) loadTermAndVote() error {
+	b, err := s.bolt.Get([]byte(keyTermAndVote))
 	if errors.Is(err, raftboltdb.ErrKeyNotFound) {
 		return nil
 	}
 	if err == nil {
-		s.kept, err = decodeKept(b)
+		s.saved, err = decodeTermAndVote(b)
 	}
 	return err
 }
 
 // keep changes what is kept. It is called under mu.
-func (s *Store) keep(k kept) error {
-	err := s.write("write the term and the vote", func() error { return s.bolt.Set([]byte(keyKept), k.encode()) })
+func (s *Store) saveTermAndVote(k termAndVote) error {
+	err := s.write("write the term and the vote", func() error { return s.bolt.Set([]byte(keyTermAndVote), k.encode()) })
 	if err == nil {
-		s.kept = k
+		s.saved = k
 	}
 	return err
 }
@@ -282,23 +282,23 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.kept
+	k := s.saved
 	k.voteTerm, k.candidate = s.voteTerm, bytes.Clone(value)
-	return s.keep(k)
+	return s.saveTermAndVote(k)
 }
 
 // SetUint64 implements raft.StableStore.
 func (s *Store) SetUint64(key []byte, v uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.kept
+	k := s.saved
 	switch string(key) {
 	case keyVoteTerm:
 		s.voteTerm = v
 		return nil
 	case keyTerm:
 		k.term = v
-		return s.keep(k)
+		return s.saveTermAndVote(k)
 	}
 	return fmt.Errorf("raft keeps %q, which is not known here", key)
 }
@@ -310,7 +310,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return bytes.Clone(s.kept.candidate), nil
+	return bytes.Clone(s.saved.candidate), nil
 }
 
 // GetUint64 implements raft.StableStore.
@@ -319,9 +319,9 @@
 	defer s.mu.Unlock()
 	switch string(key) {
 	case keyVoteTerm:
-		return s.kept.voteTerm, nil
+		return s.saved.voteTerm, nil
 	case keyTerm:
-		return s.kept.term, nil
+		return s.saved.term, nil
 	}
 	return 0, fmt.Errorf("raft asks for %q, which is not known here", key)
 }
@@ -333,7 +333,7 @@
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(lockWait):
+	case <-time.After(lockTimeout):
 		return fmt.Errorf("%s: it does not close", s.path)
 	}
 }
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -15,47 +15,47 @@
 )
 
 // claim is the body of POST /v1/claim: the first voter of a configuration is about to form the cluster.
-type claim struct {
+type claimRequest struct {
 	ClusterName string `json:"cluster_name"`
 	Cluster     string `json:"cluster"` // the id that it will have
 	Name        string `json:"name"`
 	Identity    string `json:"identity"`
-	Listed      string `json:"listed"` // a hash of the voters' names in their order
+	VotersHash  string `json:"listed"` // a hash of the voters' names in their order
 }
 
 // claimed is its answer.
-type claimed struct {
+type claimReply struct {
 	Name     string `json:"name"`
 	Identity string `json:"identity"`
 }
 
 // attend sees to it that this voter gets its vote: by forming the cluster, by being claimed or by being taken in.
-func (v *Voter) attend(ctx context.Context) {
-	var from string // that has answered last
+func (v *Voter) ensureVote(ctx context.Context) {
+	var lastAnswered string // that has answered last
 	// A disk with state has formed before, or has been on the way to be taken in: either way asking does no harm.
-	form := v.c.first() && v.running() == nil
+	forming := v.c.isFirst() && v.currentRun() == nil
 	for ctx.Err() == nil {
-		if v.failed() != nil {
+		if v.failure() != nil {
 			return
 		}
 		if v.hasVote() {
-			v.arrived()
+			v.markJoined()
 			return
 		}
 		switch {
-		case !form:
-			from = v.askJoin(ctx, from)
-		case v.running() != nil: // formed, and not elected yet
+		case !forming:
+			lastAnswered = v.requestJoin(ctx, lastAnswered)
+		case v.currentRun() != nil: // formed, and not elected yet
 		default:
-			form = v.tryForm(ctx)
+			forming = v.tryForm(ctx)
 		}
 		v.mu.Lock()
 		changed := v.changed
 		v.mu.Unlock()
 		select {
-		case <-time.After(v.c.Timings.Join):
+		case <-time.After(v.c.Timings.JoinInterval):
 		case <-changed:
-			time.Sleep(v.c.Timings.Join / 10) // changes come in swarms
+			time.Sleep(v.c.Timings.JoinInterval / 10) // changes come in swarms
 		case <-ctx.Done():
 		}
 	}
@@ -63,33 +63,33 @@
 
 // hasVote tells whether a committed configuration, of the log or of a snapshot, gives this identity a vote.
 func (v *Voter) hasVote() bool {
-	if v.running() == nil {
+	if v.currentRun() == nil {
 		return false
 	}
-	if v.fsm.voter() {
+	if v.fsm.votes() {
 		return true
 	}
 	has := false
 	err := guarded(func() error {
-		all, err := v.disk.Snapshots.List()
-		has = err == nil && len(all) > 0 && votes(all[0].Configuration, v.identity())
+		snapshots, err := v.disk.Snapshots.List()
+		has = err == nil && len(snapshots) > 0 && isVoter(snapshots[0].Configuration, v.identity())
 		return err
 	})
 	return err == nil && has
 }
 
-func (v *Voter) arrived() {
-	v.starts.Lock()
+func (v *Voter) markJoined() {
+	v.startMu.Lock()
 	err := v.disk.SetVoted()
-	v.starts.Unlock()
+	v.startMu.Unlock()
 	if err != nil {
 		v.fail(fmt.Errorf("%w: %w", disk.ErrDamaged, err))
 		return
 	}
-	v.fsm.arrive()
+	v.fsm.setHasVote()
 	v.mu.Lock()
 	v.joining = false
-	v.note()
+	v.notifyChanged()
 	v.mu.Unlock()
 	id := v.disk.Identity()
 	v.log.Info("cluster_joined", "voter", v.c.Name, "identity", id.Identity, "cluster", id.Cluster)
@@ -97,7 +97,7 @@
 
 // tryForm claims all other voters and forms the cluster with them. It answers false where there is a cluster already.
 func (v *Voter) tryForm(ctx context.Context) bool {
-	v.starts.Lock()
+	v.startMu.Lock()
 	id := v.disk.Identity()
 	if id.Cluster == "" {
 		if err := v.disk.SetCluster(disk.NewID()); err != nil {
@@ -105,27 +105,27 @@
 		}
 		id = v.disk.Identity()
 	}
-	v.starts.Unlock()
-	ask := claim{ClusterName: v.c.Cluster, Cluster: id.Cluster, Name: v.c.Name, Identity: id.Identity, Listed: v.c.listed()}
-	ctx, cancel := context.WithTimeout(ctx, v.c.Timings.Call)
+	v.startMu.Unlock()
+	request := claimRequest{ClusterName: v.c.Cluster, Cluster: id.Cluster, Name: v.c.Name, Identity: id.Identity, VotersHash: v.c.votersHash()}
+	ctx, cancel := context.WithTimeout(ctx, v.c.Timings.CallTimeout)
 	defer cancel()
-	answers := make([]claimed, len(v.c.Voters))
-	answers[0] = claimed{v.c.Name, id.Identity}
+	answers := make([]claimReply, len(v.c.Voters))
+	answers[0] = claimReply{v.c.Name, id.Identity}
 	errs := make([]error, len(v.c.Voters))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, p := range v.c.Voters[1:] {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			errs[i+1] = v.peers.call(ctx, p.Name, http.MethodPost, "/v1/claim", ask, &answers[i+1])
+			defer wg.Done()
+			errs[i+1] = v.peers.call(ctx, p.Name, http.MethodPost, "/v1/claim", request, &answers[i+1])
 		}()
 	}
-	all.Wait()
-	c := raft.Configuration{}
-	ok := true
+	wg.Wait()
+	initial := raft.Configuration{}
+	complete := true
 	for i, p := range v.c.Voters {
-		var said *refusal
-		if errors.As(errs[i], &said) && said.State {
+		var refused *refusal
+		if errors.As(errs[i], &refused) && refused.State {
 			v.log.Info("cluster_found", "voter", v.c.Name, "by", p.Name)
 			return false
 		}
@@ -133,67 +133,67 @@
 			errs[i] = fmt.Errorf("the voter %q answers at %s", answers[i].Name, p.Addr)
 		}
 		if errs[i] != nil {
-			ok = false
-			v.lines.warn("cluster_not_formed", "voter", v.c.Name, "lacks", p.Name, "why", errs[i])
+			complete = false
+			v.throttled.warn("cluster_not_formed", "voter", v.c.Name, "lacks", p.Name, "why", errs[i])
 			continue
 		}
-		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(answers[i].Identity), Address: link.Address(p.Name, answers[i].Identity)})
+		initial.Servers = append(initial.Servers, raft.Server{ID: raft.ServerID(answers[i].Identity), Address: link.Address(p.Name, answers[i].Identity)})
 	}
-	if !ok || ctx.Err() != nil {
+	if !complete || ctx.Err() != nil {
 		return true
 	}
-	v.starts.Lock()
-	fresh, err := v.belong(id.Cluster, &c)
-	v.starts.Unlock()
+	v.startMu.Lock()
+	fresh, err := v.joinCluster(id.Cluster, &initial)
+	v.startMu.Unlock()
 	if err == nil && fresh {
-		v.log.Info("cluster_formed", "cluster", id.Cluster, "name", v.c.Cluster, "voters", len(c.Servers))
+		v.log.Info("cluster_formed", "cluster", id.Cluster, "name", v.c.Cluster, "voters", len(initial.Servers))
 	}
 	return true
 }
 
 // serveClaim keeps the first voter's claim, as long as this voter's disk has never held a vote or an entry.
 func (v *Voter) serveClaim(w http.ResponseWriter, r *http.Request) {
-	var c claim
-	if !decode(w, r, &c) {
+	var request claimRequest
+	if !decodeBody(w, r, &request) {
 		return
 	}
-	why := ""
+	reason := ""
 	switch {
-	case c.ClusterName != v.c.Cluster:
-		why = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
-	case c.Listed != v.c.listed():
-		why = "the voters are others here, or in another order"
-	case c.Name != v.c.Voters[0].Name || v.c.first():
-		why = fmt.Sprintf("the first voter is %q", v.c.Voters[0].Name)
-	case !disk.ValidID(c.Cluster) || !disk.ValidID(c.Identity):
-		why = "no ids"
+	case request.ClusterName != v.c.Cluster:
+		reason = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
+	case request.VotersHash != v.c.votersHash():
+		reason = "the voters are others here, or in another order"
+	case request.Name != v.c.Voters[0].Name || v.c.isFirst():
+		reason = fmt.Sprintf("the first voter is %q", v.c.Voters[0].Name)
+	case !disk.ValidID(request.Cluster) || !disk.ValidID(request.Identity):
+		reason = "no ids"
 	}
-	if why != "" {
-		v.lines.warn("cluster_claim_refused", "of", c.Name, "why", why)
-		refuse(w, http.StatusConflict, refusal{Refused: why})
+	if reason != "" {
+		v.throttled.warn("cluster_claim_refused", "of", request.Name, "why", reason)
+		writeRefusal(w, http.StatusConflict, refusal{Refused: reason})
 		return
 	}
-	v.starts.Lock()
-	defer v.starts.Unlock()
-	if err := v.failed(); err != nil {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
+	v.startMu.Lock()
+	defer v.startMu.Unlock()
+	if err := v.failure(); err != nil {
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
 		return
 	}
-	if run := v.running(); run == nil || run.cluster != c.Cluster {
-		fresh, err := v.belong(c.Cluster, nil)
+	if run := v.currentRun(); run == nil || run.cluster != request.Cluster {
+		fresh, err := v.joinCluster(request.Cluster, nil)
 		if err != nil {
-			refuse(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
+			writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
 			return
 		}
 		if !fresh {
-			refuse(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
+			writeRefusal(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
 			return
 		}
 	} else if state, err := v.hasState(); err != nil || state {
-		refuse(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
+		writeRefusal(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
 		return
 	}
-	answer(w, http.StatusOK, claimed{v.c.Name, v.identity()})
+	writeJSON(w, http.StatusOK, claimReply{v.c.Name, v.identity()})
 }
 
 func (v *Voter) hasState() (state bool, err error) {
--- a/internal/cluster/voter/fsm.go
+++ b/internal/cluster/voter/fsm.go
@@ -20,26 +20,26 @@
 // fsm hands what was committed to the replica. It tells when the replica may be shown: a state that a start has brought
 // back may be older than what was shown before it.
 type fsm struct {
-	replica *replica.Replica
-	own     string // identity
-	clocks  *clocks
-	fail    func(error)
-	caught  func() // is called once what the disk held at the start has been applied, if that is ever known
-
-	mu      sync.Mutex
-	held    disk.Held // by the disk at the start
-	base    record.Version
-	running bool // raft has restored what it restores at its start
-	index   uint64
-	newer   bool // an entry of a later term than the disk held has been applied
-	votes   bool // this identity has a vote by a committed configuration
-	shown   bool
-	broken  error
-	newest  time.Time // what is applied was surely the newest then; zero where no clock entry has told
+	replica     *replica.Replica
+	ownIdentity string // identity
+	clock       *clockHistory
+	fail        func(error)
+	onCaughtUp  func() // is called once what the disk held at the start has been applied, if that is ever known
+
+	mu              sync.Mutex
+	stored          disk.Contents // by the disk at the start
+	snapshotVersion record.Version
+	restored        bool // raft has restored what it restores at its start
+	appliedIndex    uint64
+	newerTerm       bool // an entry of a later term than the disk held has been applied
+	hasVote         bool // this identity has a vote by a committed configuration
+	visible         bool
+	applyErr        error
+	freshAsOf       time.Time // what is applied was surely the newest then; zero where no clock entry has told
 }
 
 // applied is what an entry's future answers.
-type applied struct {
+type applyResult struct {
 	result record.Result
 	err    error
 }
@@ -47,54 +47,54 @@
 var _ raft.BatchingFSM = (*fsm)(nil)
 
 // hold says what the disk held, before raft starts.
-func (f *fsm) hold(h disk.Held) {
+func (f *fsm) setStored(h disk.Contents) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = h
+	f.stored = h
 }
 
 // started says that raft has started on what the disk held.
 func (f *fsm) started() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.running {
-		f.running = true
-		f.look()
+	if !f.restored {
+		f.restored = true
+		f.updateVisible()
 	}
 }
 
 // look decides whether the state may be shown from now on. It is called under mu.
-func (f *fsm) look() {
+func (f *fsm) updateVisible() {
 	switch {
-	case f.shown || !f.running:
-	case f.held.Last == 0: // nothing was shown by this disk, and an empty state is old where a cluster has one
-		f.shown = f.votes
+	case f.visible || !f.restored:
+	case f.stored.Last == 0: // nothing was shown by this disk, and an empty state is old where a cluster has one
+		f.visible = f.hasVote
 	default:
-		if f.shown = f.newer || f.replica.Version() >= f.base+record.Version(f.held.Commands); f.shown {
-			f.caught()
+		if f.visible = f.newerTerm || f.replica.Version() >= f.snapshotVersion+record.Version(f.stored.Commands); f.visible {
+			f.onCaughtUp()
 		}
 	}
 }
 
-func (f *fsm) shows() bool {
+func (f *fsm) isVisible() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.shown
+	return f.visible
 }
 
 // voter tells whether this identity has a vote by what was committed.
-func (f *fsm) voter() bool {
+func (f *fsm) votes() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.votes
+	return f.hasVote
 }
 
 // arrive says that this identity has a vote by a snapshot.
-func (f *fsm) arrive() {
+func (f *fsm) setHasVote() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.votes = true
-	f.look()
+	f.hasVote = true
+	f.updateVisible()
 }
 
 // age tells how long ago the state was surely the newest. It is unknown until a clock entry of this start has told: between two
@@ -102,8 +102,8 @@
 func (f *fsm) age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.newest.IsZero() {
-		return time.Since(f.newest)
+	if !f.freshAsOf.IsZero() {
+		return time.Since(f.freshAsOf)
 	}
 	return api.AgeUnknown
 }
@@ -115,7 +115,7 @@
 func (f *fsm) ApplyBatch(logs []*raft.Log) []any {
 	answers := make([]any, len(logs))
 	f.mu.Lock()
-	broken := f.broken
+	applyErr := f.applyErr
 	f.mu.Unlock()
 	var raw [][]byte
 	for _, l := range logs {
@@ -125,55 +125,55 @@
 	}
 	var results []record.Result
 	var err error
-	if broken == nil {
+	if applyErr == nil {
 		results, err = f.replica.ApplyAll(raw)
 	}
 	taken := 0
 	for i, l := range logs {
-		if l.Type == raft.LogCommand && broken == nil {
+		if l.Type == raft.LogCommand && applyErr == nil {
 			if taken == len(results) {
-				broken = fmt.Errorf("entry %d of the log: %w", l.Index, err)
-				f.breaks(broken)
+				applyErr = fmt.Errorf("entry %d of the log: %w", l.Index, err)
+				f.failApply(applyErr)
 			} else {
-				answers[i] = applied{result: results[taken]}
+				answers[i] = applyResult{result: results[taken]}
 				taken++
 			}
 		}
-		if broken != nil {
-			answers[i] = applied{err: broken}
+		if applyErr != nil {
+			answers[i] = applyResult{err: applyErr}
 			continue
 		}
 		if l.Type != raft.LogCommand {
-			answers[i] = applied{}
+			answers[i] = applyResult{}
 		}
-		f.after(l)
+		f.noteApplied(l)
 	}
 	return answers
 }
 
 // after takes note of an entry that has been applied.
-func (f *fsm) after(l *raft.Log) {
-	var told time.Time
+func (f *fsm) noteApplied(l *raft.Log) {
+	var readingTime time.Time
 	if l.Type == raft.LogCommand {
-		told = f.told(l.Data)
+		readingTime = f.readingTime(l.Data)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Type == raft.LogConfiguration {
-		f.votes = votes(raft.DecodeConfiguration(l.Data), f.own)
+		f.hasVote = isVoter(raft.DecodeConfiguration(l.Data), f.ownIdentity)
 	}
-	f.index = l.Index
-	f.newer = f.newer || l.Term > f.held.Term
-	if told.After(f.newest) {
-		f.newest = told
+	f.appliedIndex = l.Index
+	f.newerTerm = f.newerTerm || l.Term > f.stored.Term
+	if readingTime.After(f.freshAsOf) {
+		f.freshAsOf = readingTime
 	}
-	f.look()
+	f.updateVisible()
 }
 
 // told is when this voter's clock gave the reading that an entry has of it; zero where it has none. What was committed by then
 // comes before that entry, for it was appended later.
-func (f *fsm) told(raw []byte) time.Time {
-	if !bytes.Contains(raw, []byte(f.own)) {
+func (f *fsm) readingTime(raw []byte) time.Time {
+	if !bytes.Contains(raw, []byte(f.ownIdentity)) {
 		return time.Time{}
 	}
 	e, err := record.Decode(raw)
@@ -181,21 +181,21 @@
 		return time.Time{}
 	}
 	for _, r := range e.Clock.Readings {
-		if r.Voter == f.own {
-			return f.clocks.at(r.Ms)
+		if r.Voter == f.ownIdentity {
+			return f.clock.takenTime(r.Ms)
 		}
 	}
 	return time.Time{}
 }
 
-func (f *fsm) breaks(err error) {
+func (f *fsm) failApply(err error) {
 	f.mu.Lock()
-	f.broken = err
+	f.applyErr = err
 	f.mu.Unlock()
 	f.fail(err)
 }
 
-func votes(c raft.Configuration, identity string) bool {
+func isVoter(c raft.Configuration, identity string) bool {
 	for _, s := range c.Servers {
 		if string(s.ID) == identity {
 			return s.Suffrage == raft.Voter
@@ -218,10 +218,10 @@
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.broken != nil {
-		return nil, f.broken
+	if f.applyErr != nil {
+		return nil, f.applyErr
 	}
-	return snapshot{f.replica.View()}, nil
+	return fsmSnapshot{f.replica.View()}, nil
 }
 
 // Restore implements raft.FSM.
@@ -229,22 +229,22 @@
 	defer from.Close()
 	if err := f.replica.Restore(from); err != nil {
 		err = fmt.Errorf("a snapshot does not read: %w", err)
-		f.breaks(err)
+		f.failApply(err)
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.running {
-		f.base = f.replica.Version()
+	if !f.restored {
+		f.snapshotVersion = f.replica.Version()
 	}
-	f.look()
+	f.updateVisible()
 	return nil
 }
 
-type snapshot struct{ view record.View }
+type fsmSnapshot struct{ view record.View }
 
 // Persist implements raft.FSMSnapshot.
-func (s snapshot) Persist(to raft.SnapshotSink) error {
+func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
 	if err := record.Save(to, s.view); err != nil {
 		return errors.Join(err, to.Cancel())
 	}
@@ -252,4 +252,4 @@
 }
 
 // Release implements raft.FSMSnapshot.
-func (snapshot) Release() {}
+func (fsmSnapshot) Release() {}
--- a/internal/cluster/voter/join.go
+++ b/internal/cluster/voter/join.go
@@ -13,9 +13,9 @@
 )
 
 // entrant is the body of POST /v1/join: a voter without a vote asks for one. It repeats that until it has it.
-type entrant struct {
+type joinRequest struct {
 	ClusterName string `json:"cluster_name"`
-	Listed      string `json:"listed"`
+	VotersHash  string `json:"listed"`
 	Name        string `json:"name"`
 	Identity    string `json:"identity"`
 	Cluster     string `json:"cluster"` // the id that it has kept, "" for none
@@ -24,55 +24,55 @@
 }
 
 // taken is its answer.
-type taken struct {
-	Cluster string `json:"cluster"` // the id to be kept before anything else
-	Votes   bool   `json:"votes"`
-	Said    string `json:"said,omitempty"`
+type joinReply struct {
+	Cluster  string `json:"cluster"` // the id to be kept before anything else
+	Votes    bool   `json:"votes"`
+	Progress string `json:"said,omitempty"`
 	// Replaced says that the entrant was a member and was taken out: it never comes in again.
 	Replaced bool   `json:"replaced,omitempty"`
 	Holder   string `json:"holder,omitempty"` // then, the identity that has its name; "" for none
 }
 
 // attempt is how far the leader is with an entrant.
-type attempt struct {
-	term uint64
-	last uint64 // the log's end when the entrant asked last
+type joinAttempt struct {
+	term      uint64
+	lastIndex uint64 // the log's end when the entrant asked last
 }
 
 // askJoin asks one voter after another, from the one that answered last on, and gives the name of the one that has.
-func (v *Voter) askJoin(ctx context.Context, from string) string {
+func (v *Voter) requestJoin(ctx context.Context, lastAnswered string) string {
 	id := v.disk.Identity()
-	ask := entrant{ClusterName: v.c.Cluster, Listed: v.c.listed(), Name: v.c.Name, Identity: id.Identity, Cluster: id.Cluster, Member: v.member}
-	begin := 0
+	request := joinRequest{ClusterName: v.c.Cluster, VotersHash: v.c.votersHash(), Name: v.c.Name, Identity: id.Identity, Cluster: id.Cluster, Member: v.membership}
+	first := 0
 	for i, p := range v.c.Voters {
-		if p.Name == from {
-			begin = i
+		if p.Name == lastAnswered {
+			first = i
 		}
 	}
 	for i := range v.c.Voters {
-		p := v.c.Voters[(begin+i)%len(v.c.Voters)]
+		p := v.c.Voters[(first+i)%len(v.c.Voters)]
 		if p.Name == v.c.Name {
 			continue
 		}
-		within, cancel := context.WithTimeout(ctx, 2*v.c.Timings.Call)
-		var t taken
-		err := v.peers.call(within, p.Name, http.MethodPost, "/v1/join", ask, &t)
+		callCtx, cancel := context.WithTimeout(ctx, 2*v.c.Timings.CallTimeout)
+		var reply joinReply
+		err := v.peers.call(callCtx, p.Name, http.MethodPost, "/v1/join", request, &reply)
 		cancel()
 		if err != nil {
-			v.lines.warn("cluster_not_joined", "voter", v.c.Name, "asked", p.Name, "why", err)
+			v.throttled.warn("cluster_not_joined", "voter", v.c.Name, "asked", p.Name, "why", err)
 			continue
 		}
-		if t.Replaced && t.Cluster == id.Cluster {
-			v.replaced(id.Identity, t.Holder)
+		if reply.Replaced && reply.Cluster == id.Cluster {
+			v.failReplaced(id.Identity, reply.Holder)
 			return p.Name
 		}
 		// Also where the id is kept already: the first voter, started again before it held an entry, does not run raft yet.
-		if (t.Cluster != id.Cluster || v.running() == nil) && disk.ValidID(t.Cluster) {
-			v.starts.Lock()
-			fresh, err := v.belong(t.Cluster, nil)
-			v.starts.Unlock()
-			if err == nil && !fresh && t.Cluster != id.Cluster {
-				v.lines.warn("cluster_not_joined", "voter", v.c.Name, "asked", p.Name, "why", "the disk here holds the state of another cluster, "+id.Cluster)
+		if (reply.Cluster != id.Cluster || v.currentRun() == nil) && disk.ValidID(reply.Cluster) {
+			v.startMu.Lock()
+			fresh, err := v.joinCluster(reply.Cluster, nil)
+			v.startMu.Unlock()
+			if err == nil && !fresh && reply.Cluster != id.Cluster {
+				v.throttled.warn("cluster_not_joined", "voter", v.c.Name, "asked", p.Name, "why", "the disk here holds the state of another cluster, "+id.Cluster)
 			}
 		}
 		return p.Name
@@ -82,139 +82,139 @@
 
 // serveJoin takes a voter in, one step a call, or hands the call on to the leader.
 func (v *Voter) serveJoin(w http.ResponseWriter, r *http.Request) {
-	var e entrant
-	if !decode(w, r, &e) {
+	var request joinRequest
+	if !decodeBody(w, r, &request) {
 		return
 	}
-	why := ""
+	reason := ""
 	switch {
-	case e.ClusterName != v.c.Cluster:
-		why = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
-	case e.Listed != v.c.listed():
-		why = "the voters are others here, or in another order"
-	case v.c.address(e.Name) == "" || !disk.ValidID(e.Identity):
-		why = fmt.Sprintf("%q with the identity %.40q is no voter of the configuration", e.Name, e.Identity)
-	case e.Name == v.c.Name:
-		why = "that is my own name"
-	}
-	if why != "" {
-		refuse(w, http.StatusConflict, refusal{Refused: why})
+	case request.ClusterName != v.c.Cluster:
+		reason = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
+	case request.VotersHash != v.c.votersHash():
+		reason = "the voters are others here, or in another order"
+	case v.c.address(request.Name) == "" || !disk.ValidID(request.Identity):
+		reason = fmt.Sprintf("%q with the identity %.40q is no voter of the configuration", request.Name, request.Identity)
+	case request.Name == v.c.Name:
+		reason = "that is my own name"
+	}
+	if reason != "" {
+		writeRefusal(w, http.StatusConflict, refusal{Refused: reason})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), 2*v.c.Timings.Call)
+	ctx, cancel := context.WithTimeout(r.Context(), 2*v.c.Timings.CallTimeout)
 	defer cancel()
 	run, leader := v.leader()
 	if run == nil || leader == "" {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: "no leader is known here"})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "no leader is known here"})
 		return
 	}
-	var t taken
+	var reply joinReply
 	var err error
 	switch {
 	case leader == v.c.Name:
-		t, err = v.admit(ctx, run, e)
-	case r.Header.Get(hopsHeader) != "":
+		reply, err = v.admit(ctx, run, request)
+	case r.Header.Get(forwardedHeader) != "":
 		err = errors.New("not the leader")
 	default:
-		err = v.peers.handOn(ctx, leader, http.MethodPost, "/v1/join", e, &t, true)
+		err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/join", request, &reply, true)
 	}
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
 		return
 	}
-	answer(w, http.StatusOK, t)
+	writeJSON(w, http.StatusOK, reply)
 }
 
 // admit goes one step: the entrant learns the cluster's id; it gets the log without a vote; once it has it, the identity that
 // had its name goes and it gets the vote. Each step can be taken again, also by the next leader.
-func (v *Voter) admit(ctx context.Context, run *running, e entrant) (taken, error) {
-	if !v.admits.TryLock() {
-		return taken{}, errors.New("another voter is being taken in")
+func (v *Voter) admit(ctx context.Context, run *raftRun, request joinRequest) (joinReply, error) {
+	if !v.admitMu.TryLock() {
+		return joinReply{}, errors.New("another voter is being taken in")
 	}
-	defer v.admits.Unlock()
-	t := taken{Cluster: run.cluster}
-	if e.Cluster != run.cluster {
-		t.Said = "keep the cluster's id and ask again"
-		return t, nil
+	defer v.admitMu.Unlock()
+	reply := joinReply{Cluster: run.cluster}
+	if request.Cluster != run.cluster {
+		reply.Progress = "keep the cluster's id and ask again"
+		return reply, nil
 	}
-	if err := v.leads(ctx, run); err != nil {
-		return t, err
+	if err := v.verifyLeader(ctx, run); err != nil {
+		return reply, err
 	}
 	c := run.raft.GetConfiguration().Configuration()
-	if votes(c, e.Identity) {
-		t.Votes = true
-		return t, nil
+	if isVoter(c, request.Identity) {
+		reply.Votes = true
+		return reply, nil
 	}
-	var at told
-	if err := v.peers.call(ctx, e.Name, http.MethodGet, "/v1/clock", nil, &at); err != nil {
-		return t, fmt.Errorf("you do not answer at %s: %w", v.c.address(e.Name), err)
+	var clock clockReply
+	if err := v.peers.call(ctx, request.Name, http.MethodGet, "/v1/clock", nil, &clock); err != nil {
+		return reply, fmt.Errorf("you do not answer at %s: %w", v.c.address(request.Name), err)
 	}
-	if at.Identity != e.Identity || at.Cluster != run.cluster {
-		return t, fmt.Errorf("at %s answers the identity %.40q of the cluster %.40q", v.c.address(e.Name), at.Identity, at.Cluster)
+	if clock.Identity != request.Identity || clock.Cluster != run.cluster {
+		return reply, fmt.Errorf("at %s answers the identity %.40q of the cluster %.40q", v.c.address(request.Name), clock.Identity, clock.Cluster)
 	}
-	if out, holder, err := v.takenOut(ctx, run, e); err != nil || out {
-		t.Replaced, t.Holder = out, holder
-		return t, err
+	if removed, holder, err := v.wasRemoved(ctx, run, request); err != nil || removed {
+		reply.Replaced, reply.Holder = removed, holder
+		return reply, err
 	}
-	end := run.raft.LastIndex()
-	before, known := v.attempt(e.Identity, attempt{term: run.raft.CurrentTerm(), last: end})
+	logEnd := run.raft.LastIndex()
+	before, known := v.recordAttempt(request.Identity, joinAttempt{term: run.raft.CurrentTerm(), lastIndex: logEnd})
 	for _, s := range c.Servers {
 		name, identity := link.Split(s.Address)
-		if name == e.Name && identity != e.Identity && s.Suffrage != raft.Voter { // left over from an earlier try
-			if err := v.await(ctx, run.raft.RemoveServer(s.ID, 0, v.c.Timings.Call)); err != nil {
-				return t, err
+		if name == request.Name && identity != request.Identity && s.Suffrage != raft.Voter { // left over from an earlier try
+			if err := v.await(ctx, run.raft.RemoveServer(s.ID, 0, v.c.Timings.CallTimeout)); err != nil {
+				return reply, err
 			}
 		}
 	}
-	if id := raft.ServerID(e.Identity); !listed(c, id) {
-		t.Said = "you get the log"
-		return t, v.await(ctx, run.raft.AddNonvoter(id, link.Address(e.Name, e.Identity), 0, v.c.Timings.Call))
+	if id := raft.ServerID(request.Identity); !isMember(c, id) {
+		reply.Progress = "you get the log"
+		return reply, v.await(ctx, run.raft.AddNonvoter(id, link.Address(request.Name, request.Identity), 0, v.c.Timings.CallTimeout))
 	}
-	if !known || at.Applied < before.last {
-		t.Said = fmt.Sprintf("you have applied %d of %d", at.Applied, end)
-		return t, nil
+	if !known || clock.Applied < before.lastIndex {
+		reply.Progress = fmt.Sprintf("you have applied %d of %d", clock.Applied, logEnd)
+		return reply, nil
 	}
-	return v.vote(ctx, run, c, e, t)
+	return v.grantVote(ctx, run, c, request, reply)
 }
 
 // vote is the last step of admit.
-func (v *Voter) vote(ctx context.Context, run *running, c raft.Configuration, e entrant, t taken) (taken, error) {
-	old, voted := holder(c, e.Name)
-	if voted {
-		if err := v.await(ctx, run.raft.RemoveServer(raft.ServerID(old), 0, v.c.Timings.Call)); err != nil {
-			return t, err
+func (v *Voter) grantVote(ctx context.Context, run *raftRun, c raft.Configuration, request joinRequest, reply joinReply) (joinReply, error) {
+	old, hadVote := holder(c, request.Name)
+	if hadVote {
+		if err := v.await(ctx, run.raft.RemoveServer(raft.ServerID(old), 0, v.c.Timings.CallTimeout)); err != nil {
+			return reply, err
 		}
 	}
-	err := v.await(ctx, run.raft.AddVoter(raft.ServerID(e.Identity), link.Address(e.Name, e.Identity), 0, v.c.Timings.Call))
+	err := v.await(ctx, run.raft.AddVoter(raft.ServerID(request.Identity), link.Address(request.Name, request.Identity), 0, v.c.Timings.CallTimeout))
 	if err != nil {
-		return t, err
+		return reply, err
 	}
 	v.mu.Lock()
-	delete(v.tried, e.Identity)
+	delete(v.joinAttempts, request.Identity)
 	v.mu.Unlock()
-	if !voted {
+	if !hadVote {
 		old = "none"
 	}
-	v.log.Info("cluster_replaced", "voter", e.Name, "old", old, "new", e.Identity)
-	t.Votes = true
-	return t, nil
+	v.log.Info("cluster_replaced", "voter", request.Name, "old", old, "new", request.Identity)
+	reply.Votes = true
+	return reply, nil
 }
 
-const mostTried = 16
+const maxJoinAttempts = 16
 
 // attempt gives how the entrant stood when it asked last in this term, and keeps how it stands now.
-func (v *Voter) attempt(identity string, now attempt) (attempt, bool) {
+func (v *Voter) recordAttempt(identity string, now joinAttempt) (joinAttempt, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	before, ok := v.tried[identity]
-	if len(v.tried) >= mostTried {
-		clear(v.tried)
+	before, ok := v.joinAttempts[identity]
+	if len(v.joinAttempts) >= maxJoinAttempts {
+		clear(v.joinAttempts)
 	}
-	v.tried[identity] = now
+	v.joinAttempts[identity] = now
 	return before, ok && before.term == now.term
 }
 
-func listed(c raft.Configuration, id raft.ServerID) bool {
+func isMember(c raft.Configuration, id raft.ServerID) bool {
 	for _, s := range c.Servers {
 		if s.ID == id {
 			return true
--- a/internal/cluster/voter/lead.go
+++ b/internal/cluster/voter/lead.go
@@ -14,69 +14,69 @@
 )
 
 // watch follows who leads, for one start of raft.
-func (v *Voter) watch(run *running, seen <-chan raft.Observation) {
-	reign, end := context.WithCancel(v.ctx)
+func (v *Voter) watchLeadership(run *raftRun, observations <-chan raft.Observation) {
+	termCtx, endTerm := context.WithCancel(v.ctx)
 	done := make(chan struct{})
 	close(done)
 	for {
 		select {
-		case <-seen:
-			v.noteLeader(run)
+		case <-observations:
+			v.observeLeader(run)
 			continue
-		case leads := <-run.raft.LeaderCh():
-			if err := run.beats(v.c.Timings, leads); err != nil {
-				v.lines.warn("cluster_beats", "fault", err)
+		case isLeader := <-run.raft.LeaderCh():
+			if err := run.setHeartbeat(v.c.Timings, isLeader); err != nil {
+				v.throttled.warn("cluster_beats", "fault", err)
 			}
-			end()
+			endTerm()
 			<-done // one reign after another
-			v.setReady(0)
-			v.noteLeader(run)
-			if leads {
-				reign, end = context.WithCancel(v.ctx)
+			v.setReadyTerm(0)
+			v.observeLeader(run)
+			if isLeader {
+				termCtx, endTerm = context.WithCancel(v.ctx)
 				done = make(chan struct{})
 				go func() {
 					defer close(done)
-					v.reign(reign, run)
+					v.lead(termCtx, run)
 				}()
 			}
 			continue
-		case <-run.ended:
+		case <-run.done:
 		}
-		end()
+		endTerm()
 		<-done
 		return
 	}
 }
 
-func (v *Voter) setReady(term uint64) {
+func (v *Voter) setReadyTerm(term uint64) {
 	v.mu.Lock()
-	v.ready = term
-	v.note()
+	v.readyTerm = term
+	v.notifyChanged()
 	v.mu.Unlock()
 }
 
-func (v *Voter) noteLeader(run *running) {
-	at, identity := run.raft.LeaderWithID()
-	name, _ := link.Split(at)
+func (v *Voter) observeLeader(run *raftRun) {
+	leaderAddr, identity := run.raft.LeaderWithID()
+	name, _ := link.Split(leaderAddr)
 	term := run.raft.CurrentTerm()
 	v.mu.Lock()
-	changed := identity != "" && v.noted != string(identity)
+	changed := identity != "" && v.loggedLeader != string(identity)
 	if changed {
-		v.noted = string(identity)
+		v.loggedLeader = string(identity)
 	}
-	v.note()
+	v.notifyChanged()
 	v.mu.Unlock()
-	if changed && v.lines.due("cluster_leader "+string(identity)) {
+	if changed && v.throttled.due("cluster_leader "+string(identity)) {
 		v.log.Info("cluster_leader", "name", name, "identity", string(identity), "term", term)
 	}
 }
 
 // reign is what a leader does besides: it waits until all that was committed before its term is applied here, and then keeps
 // the record's time.
-func (v *Voter) reign(ctx context.Context, run *running) {
+func (v *Voter) lead(ctx context.Context, run *raftRun) {
 	term := run.raft.CurrentTerm()
 	for ctx.Err() == nil {
-		if err := v.await(ctx, run.raft.Barrier(v.c.Timings.Call)); err == nil {
+		if err := v.await(ctx, run.raft.Barrier(v.c.Timings.CallTimeout)); err == nil {
 			break
 		}
 		select { // not leading any more, and about to hear of it
@@ -87,45 +87,45 @@
 	if ctx.Err() != nil || run.raft.CurrentTerm() != term {
 		return
 	}
-	v.setReady(term)
-	var besides sync.WaitGroup
-	besides.Go(func() { v.divide(ctx, run, term) })
+	v.setReadyTerm(term)
+	var wg sync.WaitGroup
+	wg.Go(func() { v.allocateLeases(ctx, run, term) })
 	if v.c.Reign != nil {
-		besides.Go(func() { v.c.Reign(ctx, v) })
+		wg.Go(func() { v.c.Reign(ctx, v) })
 	}
-	v.keepTime(ctx, run)
-	besides.Wait()
+	v.proposeClockEntries(ctx, run)
+	wg.Wait()
 }
 
 // leader gives raft, nil where it does not run, and the leader's name, "" where none is known.
-func (v *Voter) leader() (*running, string) {
-	run := v.running()
+func (v *Voter) leader() (*raftRun, string) {
+	run := v.currentRun()
 	if run == nil {
 		return nil, ""
 	}
-	at, _ := run.raft.LeaderWithID()
-	name, _ := link.Split(at)
+	leaderAddr, _ := run.raft.LeaderWithID()
+	name, _ := link.Split(leaderAddr)
 	if name == v.c.Name && run.raft.State() != raft.Leader {
 		return run, ""
 	}
 	return run, name
 }
 
-var errNotLeading = errors.New("this voter does not lead")
+var errNotLeader = errors.New("this voter does not lead")
 
 // leads proves that this voter leads now, and that all that was committed by earlier leaders is applied here.
-func (v *Voter) leads(ctx context.Context, run *running) error {
+func (v *Voter) verifyLeader(ctx context.Context, run *raftRun) error {
 	for {
 		v.mu.Lock()
-		ready, changed := v.ready, v.changed
+		readyTerm, changed := v.readyTerm, v.changed
 		v.mu.Unlock()
-		if err := v.failed(); err != nil {
+		if err := v.failure(); err != nil {
 			return err
 		}
 		if run.raft.State() != raft.Leader {
-			return errNotLeading
+			return errNotLeader
 		}
-		if ready == run.raft.CurrentTerm() {
+		if readyTerm == run.raft.CurrentTerm() {
 			return v.await(ctx, run.raft.VerifyLeader())
 		}
 		select {
@@ -137,64 +137,64 @@
 }
 
 // index is what GET /v1/readindex answers.
-type index struct {
+type readIndexReply struct {
 	Version record.Version `json:"version"`
 	Cluster string         `json:"cluster"`
 }
 
 // readIndex gives a version that holds every write acknowledged before the call: this leader acknowledges none before it has
 // applied it, and those of earlier leaders are applied once it is ready.
-func (v *Voter) readIndex(ctx context.Context, run *running) (index, error) {
+func (v *Voter) readIndex(ctx context.Context, run *raftRun) (readIndexReply, error) {
 	for {
 		v.mu.Lock()
-		ready, changed := v.ready, v.changed
+		readyTerm, changed := v.readyTerm, v.changed
 		v.mu.Unlock()
 		if run.raft.State() != raft.Leader {
-			return index{}, errNotLeading
+			return readIndexReply{}, errNotLeader
 		}
-		if ready != 0 && ready == run.raft.CurrentTerm() {
+		if readyTerm != 0 && readyTerm == run.raft.CurrentTerm() {
 			break
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return index{}, ctx.Err()
+			return readIndexReply{}, ctx.Err()
 		}
 	}
-	at := v.fsm.replica.Version()
-	if err := v.leads(ctx, run); err != nil {
-		return index{}, err
+	version := v.fsm.replica.Version()
+	if err := v.verifyLeader(ctx, run); err != nil {
+		return readIndexReply{}, err
 	}
-	return index{at, run.cluster}, nil
+	return readIndexReply{version, run.cluster}, nil
 }
 
 func (v *Voter) serveReadIndex(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), v.c.Timings.Call)
+	ctx, cancel := context.WithTimeout(r.Context(), v.c.Timings.CallTimeout)
 	defer cancel()
-	i, err := v.askIndex(ctx, r.Header.Get(hopsHeader) != "")
+	reply, err := v.requestReadIndex(ctx, r.Header.Get(forwardedHeader) != "")
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
 		return
 	}
-	answer(w, http.StatusOK, i)
+	writeJSON(w, http.StatusOK, reply)
 }
 
 // askIndex has the leader give a read index.
-func (v *Voter) askIndex(ctx context.Context, handed bool) (i index, err error) {
-	if err := v.failed(); err != nil {
-		return i, err
+func (v *Voter) requestReadIndex(ctx context.Context, forwarded bool) (reply readIndexReply, err error) {
+	if err := v.failure(); err != nil {
+		return reply, err
 	}
 	run, leader := v.leader()
 	switch {
 	case leader == "":
-		return i, errors.New("no leader is known here")
+		return reply, errors.New("no leader is known here")
 	case leader == v.c.Name:
 		return v.readIndex(ctx, run)
-	case handed:
-		return i, errNotLeading
+	case forwarded:
+		return reply, errNotLeader
 	}
-	if err = v.peers.handOn(ctx, leader, http.MethodGet, "/v1/readindex", nil, &i, true); err == nil && i.Cluster != run.cluster {
+	if err = v.peers.forward(ctx, leader, http.MethodGet, "/v1/readindex", nil, &reply, true); err == nil && reply.Cluster != run.cluster {
 		err = errors.New("the leader's address answers for another cluster")
 	}
-	return i, err
+	return reply, err
 }
--- a/internal/cluster/voter/lease.go
+++ b/internal/cluster/voter/lease.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	gatherTime  = 10 * time.Millisecond // questions that come in it are answered together
-	mostGather  = 1024
-	limitsEvery = 50 * time.Millisecond // at most so often the limits are read from the record
-	proveWithin = 300 * time.Millisecond
+	batchWindow     = 10 * time.Millisecond // questions that come in it are answered together
+	maxBatch        = 1024
+	limitsInterval  = 50 * time.Millisecond // at most so often the limits are read from the record
+	termCallTimeout = 300 * time.Millisecond
 
-	figuresEvery = time.Second
+	metricsInterval = time.Second
 )
 
 // leases is a voter's part in dividing limits.
 type leases struct {
-	asks    chan *question // for whoever reigns here
-	figures *leaseFigures
+	requests chan *leaseRequest // for whoever reigns here
+	metrics  *leaseMetrics
 }
 
-type question struct {
+type leaseRequest struct {
 	ask   lease.Ask
-	reply chan answered // of 1
+	reply chan leaseReply // of 1
 }
 
-type answered struct {
+type leaseReply struct {
 	answer lease.Answer
 	err    error
 }
 
 func newLeases() *leases {
-	return &leases{asks: make(chan *question, mostGather), figures: newLeaseFigures()}
+	return &leases{requests: make(chan *leaseRequest, maxBatch), metrics: newLeaseMetrics()}
 }
 
 // Lease implements api.Member.
 func (v *Voter) Lease(ctx context.Context, ask lease.Ask) (a lease.Answer, err error) {
 	run, leader := v.leader()
-	switch failed := v.failed(); {
+	switch failed := v.failure(); {
 	case failed != nil:
 		err = failed
 	case v.c.Limits == nil:
@@ -56,9 +56,9 @@
 	case leader == "":
 		err = errors.New("no leader is known here")
 	case leader == v.c.Name:
-		a, err = v.askHere(ctx, ask)
+		a, err = v.requestLocally(ctx, ask)
 	default:
-		err = v.peers.handOn(ctx, leader, http.MethodPost, "/v1/divide", handedAsk{run.cluster, ask}, &a, true)
+		err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/divide", forwardedAsk{run.cluster, ask}, &a, true)
 		if err == nil && a.Number != ask.Number {
 			err = errors.New(leader + ": an answer to another question")
 		}
@@ -69,136 +69,136 @@
 	return a, nil
 }
 
-func (v *Voter) askHere(ctx context.Context, ask lease.Ask) (lease.Answer, error) {
-	q := &question{ask, make(chan answered, 1)}
-	v.leases.figures.asked.Inc()
+func (v *Voter) requestLocally(ctx context.Context, ask lease.Ask) (lease.Answer, error) {
+	request := &leaseRequest{ask, make(chan leaseReply, 1)}
+	v.leases.metrics.asked.Inc()
 	select {
-	case v.leases.asks <- q:
+	case v.leases.requests <- request:
 	case <-ctx.Done():
 		return lease.Answer{}, ctx.Err()
 	case <-v.ctx.Done():
-		return lease.Answer{}, errNotLeading
+		return lease.Answer{}, errNotLeader
 	}
 	select {
-	case r := <-q.reply:
+	case r := <-request.reply:
 		return r.answer, r.err
 	case <-ctx.Done():
 		return lease.Answer{}, ctx.Err()
 	case <-v.ctx.Done():
-		return lease.Answer{}, errNotLeading
+		return lease.Answer{}, errNotLeader
 	}
 }
 
 // handedAsk is the body of POST /v1/divide: a question that another voter hands on to the leader, which hands it no further.
-type handedAsk struct {
+type forwardedAsk struct {
 	Cluster string    `json:"cluster"`
 	Ask     lease.Ask `json:"ask"`
 }
 
 func (v *Voter) serveDivide(w http.ResponseWriter, r *http.Request) {
-	var h handedAsk
-	if !decode(w, r, &h) {
+	var forwarded forwardedAsk
+	if !decodeBody(w, r, &forwarded) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), lease.Length)
 	defer cancel()
 	run, leader := v.leader()
-	err := error(errNotLeading)
+	err := error(errNotLeader)
 	var a lease.Answer
-	if run != nil && v.c.Limits != nil && leader == v.c.Name && h.Cluster == run.cluster {
-		a, err = v.askHere(ctx, h.Ask)
+	if run != nil && v.c.Limits != nil && leader == v.c.Name && forwarded.Cluster == run.cluster {
+		a, err = v.requestLocally(ctx, forwarded.Ask)
 	}
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
 		return
 	}
-	answer(w, http.StatusOK, a)
+	writeJSON(w, http.StatusOK, a)
 }
 
 // divide answers questions about leases for one reign, which has begun when it is called.
-func (v *Voter) divide(ctx context.Context, run *running, term uint64) {
+func (v *Voter) allocateLeases(ctx context.Context, run *raftRun, term uint64) {
 	if v.c.Limits == nil {
 		return
 	}
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) + time.Second }
-	d := divider{v: v, run: run, term: term, busy: map[raft.ServerID]bool{}}
-	defer d.rounds.Wait()
+	start := time.Now()
+	now := func() time.Duration { return time.Since(start) + time.Second }
+	prover := leadershipProver{v: v, run: run, term: term, inFlight: map[raft.ServerID]bool{}}
+	defer prover.calls.Wait()
 	book := lease.NewBook(term, now())
-	defer v.leases.figures.set(nil, 0)
-	version, read, told := record.Version(0), time.Time{}, time.Time{}
+	defer v.leases.metrics.set(nil, 0)
+	version, limitsRead, metricsSet := record.Version(0), time.Time{}, time.Time{}
 	for {
-		all := v.gather(ctx)
-		if len(all) == 0 {
+		batch := v.nextBatch(ctx)
+		if len(batch) == 0 {
 			return
 		}
-		if at := v.fsm.replica.Version(); read.IsZero() || at != version && time.Since(read) >= limitsEvery {
-			version, read = at, time.Now()
-			if word := book.Set(now(), v.c.Limits(v.fsm.replica.View())); word != "" {
-				v.lines.warn("lease_limits", "fault", word)
+		if at := v.fsm.replica.Version(); limitsRead.IsZero() || at != version && time.Since(limitsRead) >= limitsInterval {
+			version, limitsRead = at, time.Now()
+			if problem := book.Set(now(), v.c.Limits(v.fsm.replica.View())); problem != "" {
+				v.throttled.warn("lease_limits", "fault", problem)
 			}
 		}
-		asks := make([]lease.Ask, len(all))
-		for i, q := range all {
-			asks[i] = q.ask
+		requests := make([]lease.Ask, len(batch))
+		for i, request := range batch {
+			requests[i] = request.ask
 		}
-		replies := book.Answer(now(), asks)
-		if time.Since(told) >= figuresEvery {
-			told = time.Now()
-			v.leases.figures.set(book.Figures(mostFigures), book.Holders())
+		replies := book.Answer(now(), requests)
+		if time.Since(metricsSet) >= metricsInterval {
+			metricsSet = time.Now()
+			v.leases.metrics.set(book.Figures(maxReportedLimits), book.Holders())
 		}
-		err := d.prove(ctx)
-		for i, q := range all {
-			a := answered{replies[i].Answer, err}
+		err := prover.prove(ctx)
+		for i, request := range batch {
+			a := leaseReply{replies[i].Answer, err}
 			if err == nil && replies[i].Refused != "" {
 				a.err = errors.New(replies[i].Refused)
 			}
 			if a.err != nil {
-				v.leases.figures.refused.Inc()
+				v.leases.metrics.refused.Inc()
 			}
-			q.reply <- a
+			request.reply <- a
 		}
 	}
 }
 
 // gather waits for questions; none where the reign is over.
-func (v *Voter) gather(ctx context.Context) (all []*question) {
-	var end <-chan time.Time
-	for len(all) < mostGather {
+func (v *Voter) nextBatch(ctx context.Context) (batch []*leaseRequest) {
+	var windowEnd <-chan time.Time
+	for len(batch) < maxBatch {
 		select {
-		case q := <-v.leases.asks:
-			if all = append(all, q); end == nil {
-				end = time.After(gatherTime)
+		case request := <-v.leases.requests:
+			if batch = append(batch, request); windowEnd == nil {
+				windowEnd = time.After(batchWindow)
 			}
 			continue
-		case <-end:
+		case <-windowEnd:
 		case <-ctx.Done():
-			for _, q := range all {
-				q.reply <- answered{err: errNotLeading}
+			for _, request := range batch {
+				request.reply <- leaseReply{err: errNotLeader}
 			}
 			return nil
 		}
 		break
 	}
-	return all
+	return batch
 }
 
 // divider proves that a reign still lasts. It asks a majority of voters for their terms: who has not voted in a later term when it is
 // asked has elected nobody else by then. raft's VerifyLeader does not do: an answer that was on its way, or lay unread while this
 // process stood still, to a heartbeat from before the call counts for it.
-type divider struct {
-	v      *Voter
-	run    *running
-	term   uint64
-	rounds sync.WaitGroup
-	mu     sync.Mutex
-	busy   map[raft.ServerID]bool // asked, and not answered yet
+type leadershipProver struct {
+	v        *Voter
+	run      *raftRun
+	term     uint64
+	calls    sync.WaitGroup
+	mu       sync.Mutex
+	inFlight map[raft.ServerID]bool // asked, and not answered yet
 }
 
-func (d *divider) prove(ctx context.Context) error {
+func (prover *leadershipProver) prove(ctx context.Context) error {
 	var others []raft.Server
-	voters, own := 0, d.v.identity()
-	for _, s := range d.run.raft.GetConfiguration().Configuration().Servers {
+	voters, own := 0, prover.v.identity()
+	for _, s := range prover.run.raft.GetConfiguration().Configuration().Servers {
 		if s.Suffrage != raft.Voter {
 			continue
 		}
@@ -208,65 +208,65 @@
 	}
 	votes := make(chan bool, len(others))
 	for _, s := range others {
-		d.ask(s, votes)
+		prover.askTerm(s, votes)
 	}
-	for had, left := 1, len(others); ; {
-		if d.run.raft.State() != raft.Leader || d.run.raft.CurrentTerm() != d.term {
-			return errNotLeading
+	for confirmed, outstanding := 1, len(others); ; {
+		if prover.run.raft.State() != raft.Leader || prover.run.raft.CurrentTerm() != prover.term {
+			return errNotLeader
 		}
-		if had > voters/2 {
+		if confirmed > voters/2 {
 			return nil
 		}
-		if left == 0 {
+		if outstanding == 0 {
 			return errors.New("no majority says that this voter leads")
 		}
 		select {
-		case yes := <-votes:
-			if left--; yes {
-				had++
+		case granted := <-votes:
+			if outstanding--; granted {
+				confirmed++
 			}
 		case <-ctx.Done():
-			return errNotLeading
+			return errNotLeader
 		}
 	}
 }
 
 // ask asks one voter, unless an earlier question to it is not answered yet.
-func (d *divider) ask(s raft.Server, votes chan<- bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.busy[s.ID] {
+func (prover *leadershipProver) askTerm(s raft.Server, votes chan<- bool) {
+	prover.mu.Lock()
+	defer prover.mu.Unlock()
+	if prover.inFlight[s.ID] {
 		votes <- false
 		return
 	}
-	d.busy[s.ID] = true
-	d.rounds.Add(1)
+	prover.inFlight[s.ID] = true
+	prover.calls.Add(1)
 	go func() {
-		defer d.rounds.Done()
-		ctx, cancel := context.WithTimeout(d.v.ctx, proveWithin)
+		defer prover.calls.Done()
+		ctx, cancel := context.WithTimeout(prover.v.ctx, termCallTimeout)
 		defer cancel()
 		name, identity := link.Split(s.Address)
-		var t termed
-		err := d.v.peers.call(ctx, name, http.MethodGet, "/v1/term", nil, &t)
-		d.mu.Lock()
-		d.busy[s.ID] = false
-		d.mu.Unlock()
-		votes <- err == nil && t.Identity == identity && t.Cluster == d.run.cluster && t.Term > 0 && t.Term <= d.term
+		var reply termReply
+		err := prover.v.peers.call(ctx, name, http.MethodGet, "/v1/term", nil, &reply)
+		prover.mu.Lock()
+		prover.inFlight[s.ID] = false
+		prover.mu.Unlock()
+		votes <- err == nil && reply.Identity == identity && reply.Cluster == prover.run.cluster && reply.Term > 0 && reply.Term <= prover.term
 	}()
 }
 
 // termed is what a voter answers to GET /v1/term.
-type termed struct {
+type termReply struct {
 	Cluster  string `json:"cluster"`
 	Identity string `json:"identity"`
 	Term     uint64 `json:"term"` // when the question had come
 }
 
 func (v *Voter) serveTerm(w http.ResponseWriter, _ *http.Request) {
-	run, err := v.running(), v.failed()
+	run, err := v.currentRun(), v.failure()
 	if run == nil || err != nil {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: "this voter takes no part in a cluster now"})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter takes no part in a cluster now"})
 		return
 	}
-	answer(w, http.StatusOK, termed{run.cluster, v.identity(), run.raft.CurrentTerm()})
+	writeJSON(w, http.StatusOK, termReply{run.cluster, v.identity(), run.raft.CurrentTerm()})
 }
--- a/internal/cluster/voter/lease_bench_test.go
+++ b/internal/cluster/voter/lease_bench_test.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	perSecond = 1000                  // the limit
-	cell      = 10 * time.Millisecond // of what is counted
+	limitPerSecond = 1000                  // the limit
+	bucketLength   = 10 * time.Millisecond // of what is counted
 )
 
 // asker asks the voters by turns, as an observer does.
-type asker struct {
-	at   []atomic.Pointer[Voter]
-	last atomic.Int32
+type roundRobinMember struct {
+	members   []atomic.Pointer[Voter]
+	lastIndex atomic.Int32
 }
 
-func (a *asker) Lease(ctx context.Context, ask lease.Ask) (lease.Answer, error) {
+func (a *roundRobinMember) Lease(ctx context.Context, ask lease.Ask) (lease.Answer, error) {
 	err := errors.New("no voter is open")
-	for i := range a.at {
-		n := (int(a.last.Load()) + i) % len(a.at)
-		if v := a.at[n].Load(); v != nil {
+	for i := range a.members {
+		n := (int(a.lastIndex.Load()) + i) % len(a.members)
+		if v := a.members[n].Load(); v != nil {
 			var got lease.Answer
 			one, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 			got, err = v.Lease(one, ask)
 			cancel()
 			if err == nil {
-				a.last.Store(int32(n))
+				a.lastIndex.Store(int32(n))
 				return got, nil
 			}
 		}
@@ -47,38 +47,38 @@
 
 // fleet is processes that offer calls, all of one limit.
 type fleet struct {
-	b     *testing.B
-	c     *cluster
-	began time.Time
-	in    []atomic.Int64 // let in, by cell
-	told  []atomic.Int64 // offered, by cell
-	at    []*asker
-	ctx   context.Context
-	done  sync.WaitGroup
+	b            *testing.B
+	c            *cluster
+	start        time.Time
+	admitted     []atomic.Int64 // let in, by cell
+	offeredCalls []atomic.Int64 // offered, by cell
+	members      []*roundRobinMember
+	ctx          context.Context
+	wg           sync.WaitGroup
 }
 
 func (f *fleet) process(i int, rate func(second int) float64) {
-	a := &asker{at: make([]atomic.Pointer[Voter], len(f.c.nodes))}
+	a := &roundRobinMember{members: make([]atomic.Pointer[Voter], len(f.c.nodes))}
 	for n, d := range f.c.nodes {
-		a.at[n].Store(d.v)
+		a.members[n].Store(d.v)
 	}
-	a.last.Store(int32(i % len(a.at)))
-	f.at = append(f.at, a)
+	a.lastIndex.Store(int32(i % len(a.members)))
+	f.members = append(f.members, a)
 	l := limits.New(limits.Config{Member: a, Name: fmt.Sprint("p", i)})
-	l.Set([]lease.Limit{{ID: "worker/w", Kind: lease.Rate, Amount: perSecond * 1000}})
-	f.done.Add(2)
-	go func() { defer f.done.Done(); l.Run(f.ctx) }()
+	l.Set([]lease.Limit{{ID: "worker/w", Kind: lease.Rate, Amount: limitPerSecond * 1000}})
+	f.wg.Add(2)
+	go func() { defer f.wg.Done(); l.Run(f.ctx) }()
 	go func() {
-		defer f.done.Done()
-		ids, next := []string{"worker/w"}, f.began
+		defer f.wg.Done()
+		ids, next := []string{"worker/w"}, f.start
 		for f.ctx.Err() == nil {
 			now := time.Now()
-			r := rate(int(now.Sub(f.began) / time.Second))
+			r := rate(int(now.Sub(f.start) / time.Second))
 			for ; !next.After(now); next = next.Add(time.Duration(rand.ExpFloat64() / r * float64(time.Second))) {
-				at := min(int(time.Since(f.began)/cell), len(f.in)-1)
-				f.told[at].Add(1)
+				bucket := min(int(time.Since(f.start)/bucketLength), len(f.admitted)-1)
+				f.offeredCalls[bucket].Add(1)
 				if _, _, ok := l.Take(ids, 0); ok {
-					f.in[at].Add(1)
+					f.admitted[bucket].Add(1)
 				}
 			}
 			if r < 1 {
@@ -90,39 +90,39 @@
 }
 
 func newFleet(b *testing.B, seconds int) (*fleet, func()) {
-	c := limited(b, 5)
+	c := newLimitedCluster(b, 5)
 	c.leader().write("a", "w", 0)
 	ctx, cancel := context.WithCancel(context.Background())
-	cells := seconds * int(time.Second/cell)
-	f := &fleet{b: b, c: c, began: time.Now(), ctx: ctx, in: make([]atomic.Int64, cells+200), told: make([]atomic.Int64, cells+200)}
-	return f, func() { cancel(); f.done.Wait() }
+	buckets := seconds * int(time.Second/bucketLength)
+	f := &fleet{b: b, c: c, start: time.Now(), ctx: ctx, admitted: make([]atomic.Int64, buckets+200), offeredCalls: make([]atomic.Int64, buckets+200)}
+	return f, func() { cancel(); f.wg.Wait() }
 }
 
 // report gives the most that was let in in any second, and the share of what could have been.
 func (f *fleet) report(name string, from, to int) {
-	n := int(time.Second / cell)
-	var in, could, most, window int64
+	n := int(time.Second / bucketLength)
+	var admitted, possible, most, window int64
 	for i := from * n; i < to*n; i++ {
-		if window += f.in[i].Load(); i >= from*n+n {
-			window -= f.in[i-n].Load()
+		if window += f.admitted[i].Load(); i >= from*n+n {
+			window -= f.admitted[i-n].Load()
 		}
 		most = max(most, window)
 	}
 	for s := from; s < to; s++ {
 		offered := int64(0)
 		for i := s * n; i < s*n+n; i++ {
-			offered += f.told[i].Load()
-			in += f.in[i].Load()
+			offered += f.offeredCalls[i].Load()
+			admitted += f.admitted[i].Load()
 		}
-		could += min(perSecond, offered)
+		possible += min(limitPerSecond, offered)
 	}
-	f.b.ReportMetric(float64(most)/perSecond*100, name+"-most-%")
-	f.b.ReportMetric(float64(in)/float64(could)*100, name+"-used-%")
+	f.b.ReportMetric(float64(most)/limitPerSecond*100, name+"-most-%")
+	f.b.ReportMetric(float64(admitted)/float64(possible)*100, name+"-used-%")
 	f.b.ReportMetric(0, "ns/op")
 }
 
 // drawnRates are what 8 processes offer, anew each second; more than the limit together.
-func drawnRates(seconds int) [][]float64 {
+func randomRates(seconds int) [][]float64 {
 	r := rand.New(rand.NewPCG(1, 2))
 	all := make([][]float64, seconds+10)
 	for s := range all {
@@ -133,7 +133,7 @@
 			sum += all[s][i]
 		}
 		for i := range all[s] {
-			all[s][i] *= math.Max(1, 1.1*perSecond/sum)
+			all[s][i] *= math.Max(1, 1.1*limitPerSecond/sum)
 		}
 	}
 	return all
@@ -142,7 +142,7 @@
 // BenchmarkLeases is a limit of 1,000 a second between 8 processes whose demand changes each second, 5 voters.
 func BenchmarkLeases(b *testing.B) {
 	const seconds = 25
-	rates := drawnRates(seconds)
+	rates := randomRates(seconds)
 	for _, name := range []string{"calm", "killed"} {
 		b.Run(name, func(b *testing.B) {
 			f, end := newFleet(b, seconds)
@@ -151,25 +151,25 @@
 				f.process(i, func(s int) float64 { return rates[min(s, len(rates)-1)][i] })
 			}
 			for s := 6; s < seconds; s += 5 {
-				time.Sleep(time.Until(f.began.Add(time.Duration(s) * time.Second)))
+				time.Sleep(time.Until(f.start.Add(time.Duration(s) * time.Second)))
 				if name != "killed" {
 					continue
 				}
 				leader := f.c.leader()
 				for i, d := range f.c.nodes {
 					if d == leader {
-						for _, a := range f.at {
-							a.at[i].Store(nil)
+						for _, a := range f.members {
+							a.members[i].Store(nil)
 						}
 						leader.kill()
 						leader.open()
-						for _, a := range f.at {
-							a.at[i].Store(leader.v)
+						for _, a := range f.members {
+							a.members[i].Store(leader.v)
 						}
 					}
 				}
 			}
-			time.Sleep(time.Until(f.began.Add(seconds * time.Second)))
+			time.Sleep(time.Until(f.start.Add(seconds * time.Second)))
 			f.report(name, 5, seconds)
 		})
 	}
@@ -183,27 +183,27 @@
 			defer end()
 			var answered atomic.Int64
 			for i := range n {
-				f.done.Add(1)
-				go f.asks(i, &answered)
+				f.wg.Add(1)
+				go f.requestLeases(i, &answered)
 			}
 			time.Sleep(4 * time.Second)
-			from, had := processor(b), answered.Load()
+			from, answeredBefore := cpuTime(b), answered.Load()
 			time.Sleep(10 * time.Second)
-			b.ReportMetric(float64(processor(b)-from)/float64(10*time.Millisecond), "cpu-ms/s")
-			b.ReportMetric(float64(answered.Load()-had)/10, "answers/s")
+			b.ReportMetric(float64(cpuTime(b)-from)/float64(10*time.Millisecond), "cpu-ms/s")
+			b.ReportMetric(float64(answered.Load()-answeredBefore)/10, "answers/s")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
 // asks is a holder of one limit that asks four times a second.
-func (f *fleet) asks(i int, answered *atomic.Int64) {
-	defer f.done.Done()
+func (f *fleet) requestLeases(i int, answered *atomic.Int64) {
+	defer f.wg.Done()
 	h := lease.NewHolder(fmt.Sprint("p", i), 0)
-	h.Set([]lease.Limit{{ID: "worker/w", Kind: lease.Rate, Amount: perSecond * 1000}})
+	h.Set([]lease.Limit{{ID: "worker/w", Kind: lease.Rate, Amount: limitPerSecond * 1000}})
 	time.Sleep(time.Duration(rand.Int64N(int64(250 * time.Millisecond))))
 	for t := time.NewTicker(250 * time.Millisecond); f.ctx.Err() == nil; <-t.C {
-		now := time.Since(f.began)
+		now := time.Since(f.start)
 		ask := h.Ask(now, now, func(*lease.Held) lease.Use { return lease.Use{Demand: 3000 + rand.Int64N(3000), Most: -1} })
 		if a, err := f.c.nodes[i%len(f.c.nodes)].v.Lease(f.ctx, ask); err == nil {
 			h.Answer(&a)
@@ -212,7 +212,7 @@
 	}
 }
 
-func processor(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/internal/cluster/voter/lease_metrics.go
+++ b/internal/cluster/voter/lease_metrics.go
@@ -9,10 +9,10 @@
 )
 
 // mostFigures is how many limits are told of.
-const mostFigures = 32
+const maxReportedLimits = 32
 
 // leaseFigures are a divider's. They are a prometheus.Collector.
-type leaseFigures struct {
+type leaseMetrics struct {
 	asked, refused             prometheus.Counter
 	amount, out, want, holding *prometheus.Desc
 
@@ -21,33 +21,33 @@
 	holders int
 }
 
-func newLeaseFigures() *leaseFigures {
+func newLeaseMetrics() *leaseMetrics {
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "burlpass_lease_" + name, Help: help})
 	}
-	by := []string{"limit", "kind"}
+	labels := []string{"limit", "kind"}
 	const unit = " In calls a second, or calls at once; the 32 limits of which most is wanted; at the leader only."
-	return &leaseFigures{
+	return &leaseMetrics{
 		asked:   counter("questions_total", "Questions about leases that came to this voter as the leader."),
 		refused: counter("refused_total", "Of them those that it refused."),
-		amount:  prometheus.NewDesc("burlpass_lease_limit", "A limit of the fleet."+unit, by, nil),
-		out:     prometheus.NewDesc("burlpass_lease_out", "What processes may believe to have of a limit."+unit, by, nil),
-		want:    prometheus.NewDesc("burlpass_lease_wanted", "What processes could use of a limit."+unit, by, nil),
+		amount:  prometheus.NewDesc("burlpass_lease_limit", "A limit of the fleet."+unit, labels, nil),
+		out:     prometheus.NewDesc("burlpass_lease_out", "What processes may believe to have of a limit."+unit, labels, nil),
+		want:    prometheus.NewDesc("burlpass_lease_wanted", "What processes could use of a limit."+unit, labels, nil),
 		holding: prometheus.NewDesc("burlpass_lease_holders", "Processes that hold leases; at the leader only.", nil, nil),
 	}
 }
 
-func (f *leaseFigures) set(limits []lease.Figure, holders int) {
+func (f *leaseMetrics) set(limits []lease.Figure, holders int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.limits, f.holders = limits, holders
 }
 
 // LeaseMetrics are this voter's figures of leases.
-func (v *Voter) LeaseMetrics() prometheus.Collector { return v.leases.figures }
+func (v *Voter) LeaseMetrics() prometheus.Collector { return v.leases.metrics }
 
 // Describe is a prometheus.Collector's.
-func (f *leaseFigures) Describe(to chan<- *prometheus.Desc) {
+func (f *leaseMetrics) Describe(to chan<- *prometheus.Desc) {
 	f.asked.Describe(to)
 	f.refused.Describe(to)
 	for _, d := range []*prometheus.Desc{f.amount, f.out, f.want, f.holding} {
@@ -56,7 +56,7 @@
 }
 
 // Collect is a prometheus.Collector's.
-func (f *leaseFigures) Collect(to chan<- prometheus.Metric) {
+func (f *leaseMetrics) Collect(to chan<- prometheus.Metric) {
 	f.asked.Collect(to)
 	f.refused.Collect(to)
 	f.mu.Lock()
--- a/internal/cluster/voter/lease_test.go
+++ b/internal/cluster/voter/lease_test.go
@@ -13,7 +13,7 @@
 )
 
 // limited is a cluster that has one limit for each order in the record.
-func limited(t testing.TB, n int) *cluster {
+func newLimitedCluster(t testing.TB, n int) *cluster {
 	c := newCluster(t, n)
 	c.limits = func(v record.View) (all []lease.Limit) {
 		v.Each(record.OrderKind, func(i record.Item) bool {
@@ -27,7 +27,7 @@
 }
 
 // given asks until something of a limit is given.
-func (d *node) given(h *lease.Holder, id string) int64 {
+func (d *node) waitGranted(h *lease.Holder, id string) int64 {
 	d.c.t.Helper()
 	var n int64
 	d.c.eventually("a lease of "+id, func() bool {
@@ -47,39 +47,39 @@
 	return n
 }
 
-func TestLeaderDividesAndTheNextOneKeepsClaims(t *testing.T) {
-	c := limited(t, 3)
+func TestLeasesSurviveFailover(t *testing.T) {
+	c := newLimitedCluster(t, 3)
 	first := c.leader()
 	first.write("a", "w", 0)
 	l := lease.Limit{ID: "worker/w", Kind: lease.Rate, Amount: 1_000_000}
 	h := lease.NewHolder("p/1", 0)
 	h.Set([]lease.Limit{l})
-	if got := c.others(first)[0].given(h, l.ID); got != l.Leased() {
+	if got := c.others(first)[0].waitGranted(h, l.ID); got != l.Leased() {
 		t.Errorf("given through another voter: %d, not %d", got, l.Leased())
 	}
 	epoch := h.Epoch()
 	first.kill()
 	second := c.leader(c.others(first)...)
 	began := time.Now()
-	c.eventually("another epoch", func() bool { second.given(h, l.ID); return h.Epoch() > epoch })
-	if got := second.given(h, l.ID); got != l.Leased() {
+	c.eventually("another epoch", func() bool { second.waitGranted(h, l.ID); return h.Epoch() > epoch })
+	if got := second.waitGranted(h, l.ID); got != l.Leased() {
 		t.Errorf("claimed at the next leader: %d, not %d", got, l.Leased())
 	}
 	other := lease.NewHolder("q/1", 0)
 	other.Set([]lease.Limit{l})
-	if second.given(other, l.ID); time.Since(began) < lease.Length-lease.Length/4 {
+	if second.waitGranted(other, l.ID); time.Since(began) < lease.Length-lease.Length/4 {
 		t.Errorf("given to another %v after the election", time.Since(began))
 	}
 }
 
 // A leader that is cut off gives nothing: it cannot prove that it leads. Voters without limits refuse.
 func TestLeaseNeedsAMajority(t *testing.T) {
-	c := limited(t, 3)
+	c := newLimitedCluster(t, 3)
 	leader := c.leader()
 	leader.write("a", "w", 0)
 	h := lease.NewHolder("p/1", 0)
 	h.Set([]lease.Limit{{ID: "worker/w", Kind: lease.Rate, Amount: 1_000_000}})
-	leader.given(h, "worker/w")
+	leader.waitGranted(h, "worker/w")
 	c.isolate(leader, true)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/cluster/voter/link/conn.go
+++ b/internal/cluster/voter/link/conn.go
@@ -17,26 +17,26 @@
 }
 
 func (c *incoming) Read(b []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(idle)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(b)
 }
 
 func (c *incoming) Write(b []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(writeWithin)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
 func (c *incoming) Close() error {
-	c.l.drop(c)
+	c.l.remove(c)
 	return c.Conn.Close()
 }
 
 // rested is how long a connection was not used when it is looked at before it is used again.
-const rested = time.Second
+const idleCheckAfter = time.Second
 
 // outgoing is a connection to another voter. Raft keeps some of them for the next election, maybe days; when that comes, the
 // other process may be another one, and an election in which a vote is asked over a dead connection is lost time. So a
@@ -46,55 +46,55 @@
 	to      raft.ServerAddress
 	timeout time.Duration
 
-	mu          sync.Mutex
-	conn        net.Conn
-	used        time.Time
-	reading     int // calls of Read
-	read, write time.Time
-	closed      bool
+	mu                          sync.Mutex
+	conn                        net.Conn
+	lastUsed                    time.Time
+	activeReads                 int // calls of Read
+	readDeadline, writeDeadline time.Time
+	closed                      bool
 }
 
 func (c *outgoing) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	conn := c.conn
-	c.reading++
+	c.activeReads++
 	c.mu.Unlock()
 	n, err := conn.Read(b)
 	c.mu.Lock()
-	c.reading--
-	c.used = time.Now()
+	c.activeReads--
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
 	return n, err
 }
 
 func (c *outgoing) Write(b []byte) (int, error) {
-	conn, err := c.live()
+	conn, err := c.usableConn()
 	if err != nil {
 		return 0, err
 	}
 	return conn.Write(b)
 }
 
-func (c *outgoing) live() (net.Conn, error) {
+func (c *outgoing) usableConn() (net.Conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if now.Sub(c.used) > rested && c.reading == 0 && !c.closed && !transport.Quiet(c.conn) {
+	if now.Sub(c.lastUsed) > idleCheckAfter && c.activeReads == 0 && !c.closed && !transport.Quiet(c.conn) {
 		c.conn.Close()
 		fresh, err := c.l.dial(c.to, c.timeout)
 		if err != nil {
 			return nil, err
 		}
 		c.conn = fresh
-		_ = fresh.SetReadDeadline(c.read)
-		_ = fresh.SetWriteDeadline(c.write)
+		_ = fresh.SetReadDeadline(c.readDeadline)
+		_ = fresh.SetWriteDeadline(c.writeDeadline)
 	}
-	c.used = now
+	c.lastUsed = now
 	return c.conn, nil
 }
 
 func (c *outgoing) Close() error {
-	c.l.drop(c)
+	c.l.remove(c)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -112,13 +112,13 @@
 func (c *outgoing) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.read = t
+	c.readDeadline = t
 	return c.conn.SetReadDeadline(t)
 }
 
 func (c *outgoing) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.write = t
+	c.writeDeadline = t
 	return c.conn.SetWriteDeadline(t)
 }
--- a/internal/cluster/voter/link/link.go
+++ b/internal/cluster/voter/link/link.go
@@ -29,10 +29,10 @@
 	headerTo      = "Burlpass-To"
 	headerFrom    = "Burlpass-From"
 
-	mostIncoming = 64 // connections; seven voters hold some thirty of one another
-	mostRefusal  = 512
-	idle         = 2 * time.Minute // until a connection that says nothing is closed
-	writeWithin  = 10 * time.Second
+	maxIncoming     = 64 // connections; seven voters hold some thirty of one another
+	maxRefusalBytes = 512
+	idleTimeout     = 2 * time.Minute // until a connection that says nothing is closed
+	writeTimeout    = 10 * time.Second
 )
 
 // Config of a Layer.
@@ -43,7 +43,7 @@
 	Address  func(name string) string // host:port of a configured voter, "" for another
 	Dial     func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Refused is told of each connection that was refused: by whom, of whom, why.
-	Refused func(by, of, why string)
+	OnRefused func(by, of, reason string)
 }
 
 // Layer is raft's stream layer. It is made anew for every start of raft.
@@ -52,11 +52,11 @@
 	incoming chan net.Conn
 	done     chan struct{}
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool // true for those that came in
-	came   int
-	silent bool
-	closed bool
+	mu            sync.Mutex
+	conns         map[net.Conn]bool // true for those that came in
+	incomingCount int
+	silent        bool
+	closed        bool
 }
 
 // Address joins a voter's name and identity to what raft takes for its address.
@@ -103,7 +103,7 @@
 	l.closed = true
 	close(l.done)
 	l.mu.Unlock()
-	l.end()
+	l.closeConns()
 	return nil
 }
 
@@ -113,11 +113,11 @@
 	l.silent = on
 	l.mu.Unlock()
 	if on {
-		l.end()
+		l.closeConns()
 	}
 }
 
-func (l *Layer) end() {
+func (l *Layer) closeConns() {
 	l.mu.Lock()
 	open := slices.Collect(maps.Keys(l.conns))
 	l.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // add keeps a connection to be closed with the layer.
-func (l *Layer) add(c net.Conn, came bool) error {
+func (l *Layer) add(c net.Conn, incomingCount bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -136,23 +136,23 @@
 	if l.silent {
 		return errors.New("silent")
 	}
-	if came && l.came >= mostIncoming {
+	if incomingCount && l.incomingCount >= maxIncoming {
 		return errors.New("too many connections")
 	}
-	if came {
-		l.came++
+	if incomingCount {
+		l.incomingCount++
 	}
-	l.conns[c] = came
+	l.conns[c] = incomingCount
 	return nil
 }
 
-func (l *Layer) drop(c net.Conn) {
+func (l *Layer) remove(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if came, ok := l.conns[c]; ok {
+	if incomingCount, ok := l.conns[c]; ok {
 		delete(l.conns, c)
-		if came {
-			l.came--
+		if incomingCount {
+			l.incomingCount--
 		}
 	}
 }
@@ -160,9 +160,9 @@
 // ServeHTTP takes a connection from another voter, or refuses it with 421 and why.
 func (l *Layer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from := r.Header.Get(headerFrom)
-	if why := l.refusal(r); why != "" {
-		l.c.Refused(l.c.Name, from, why)
-		http.Error(w, why, http.StatusMisdirectedRequest)
+	if reason := l.checkRequest(r); reason != "" {
+		l.c.OnRefused(l.c.Name, from, reason)
+		http.Error(w, reason, http.StatusMisdirectedRequest)
 		return
 	}
 	raw, buffered, err := http.NewResponseController(w).Hijack()
@@ -170,14 +170,14 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_ = raw.SetDeadline(time.Now().Add(writeWithin))
+	_ = raw.SetDeadline(time.Now().Add(writeTimeout))
 	c := &incoming{Conn: raw, l: l}
 	if buffered.Reader.Buffered() > 0 {
 		raw.Close()
 		return
 	}
 	if err := l.add(c, true); err != nil {
-		l.c.Refused(l.c.Name, from, err.Error())
+		l.c.OnRefused(l.c.Name, from, err.Error())
 		_, _ = io.WriteString(raw, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		raw.Close()
 		return
@@ -197,7 +197,7 @@
 	}
 }
 
-func (l *Layer) refusal(r *http.Request) string {
+func (l *Layer) checkRequest(r *http.Request) string {
 	h := r.Header
 	switch {
 	case !strings.EqualFold(h.Get("Upgrade"), protocol):
@@ -216,7 +216,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &outgoing{l: l, to: to, timeout: timeout, conn: raw, used: time.Now()}
+	c := &outgoing{l: l, to: to, timeout: timeout, conn: raw, lastUsed: time.Now()}
 	if err := l.add(c, false); err != nil {
 		raw.Close()
 		return nil, err
@@ -243,9 +243,9 @@
 	if err != nil {
 		return nil, err
 	}
-	until, _ := ctx.Deadline()
-	_ = c.SetDeadline(until)
-	if err := l.greet(c, name, identity); err != nil {
+	deadline, _ := ctx.Deadline()
+	_ = c.SetDeadline(deadline)
+	if err := l.handshake(c, name, identity); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -253,7 +253,7 @@
 	return c, nil
 }
 
-func (l *Layer) greet(c net.Conn, name, identity string) error {
+func (l *Layer) handshake(c net.Conn, name, identity string) error {
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: Upgrade\r\nUpgrade: %s\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\n\r\n",
 		Path, name, protocol, headerCluster, l.c.Cluster, headerTo, identity, headerFrom, Address(l.c.Name, l.c.Identity))
 	if err != nil {
@@ -265,10 +265,10 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, mostRefusal))
-		why := strings.TrimSpace(string(text))
-		l.c.Refused(name, string(Address(l.c.Name, l.c.Identity)), resp.Status+" "+why)
-		return fmt.Errorf("%s %s", resp.Status, why)
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
+		reason := strings.TrimSpace(string(text))
+		l.c.OnRefused(name, string(Address(l.c.Name, l.c.Identity)), resp.Status+" "+reason)
+		return fmt.Errorf("%s %s", resp.Status, reason)
 	}
 	if r.Buffered() > 0 {
 		return errors.New("it spoke before it was asked")
--- a/internal/cluster/voter/link/link_test.go
+++ b/internal/cluster/voter/link/link_test.go
@@ -20,29 +20,29 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // pair is two layers of one cluster; those who dial count.
-func pair(t *testing.T) (a, b *Layer, to raft.ServerAddress, dials, refusals *atomic.Int32) {
+func newPair(t *testing.T) (a, b *Layer, to raft.ServerAddress, dials, refusals *atomic.Int32) {
 	mux := http.NewServeMux()
 	server := httptest.NewServer(mux)
 	dials, refusals = &atomic.Int32{}, &atomic.Int32{}
-	made := func(name, identity string) *Layer {
+	newLayer := func(name, identity string) *Layer {
 		l := New(Config{Cluster: "c1", Name: name, Identity: identity,
 			Address: func(name string) string { return map[string]string{"b": server.Listener.Addr().String()}[name] },
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dials.Add(1)
 				return (&net.Dialer{}).DialContext(ctx, network, addr)
 			},
-			Refused: func(by, of, why string) { refusals.Add(1) }})
+			OnRefused: func(by, of, why string) { refusals.Add(1) }})
 		t.Cleanup(func() { l.Close() })
 		return l
 	}
-	a, b = made("a", "id-a"), made("b", "id-b")
+	a, b = newLayer("a", "id-a"), newLayer("b", "id-b")
 	mux.Handle("GET "+Path, b)
 	t.Cleanup(server.Close)
 	return a, b, Address("b", "id-b"), dials, refusals
 }
 
 // echo answers every byte on all connections that come to a layer.
-func echo(l *Layer) {
+func serveEcho(l *Layer) {
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -54,7 +54,7 @@
 	}()
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func checkEcho(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	got := make([]byte, len(text))
@@ -66,14 +66,14 @@
 	}
 }
 
-func TestOnlyWhoIsMeant(t *testing.T) {
-	a, b, to, _, refusals := pair(t)
-	echo(b)
+func TestDialRefusesWrongIdentity(t *testing.T) {
+	a, b, to, _, refusals := newPair(t)
+	serveEcho(b)
 	c, err := a.Dial(to, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	say(t, c, "hello")
+	checkEcho(t, c, "hello")
 	for _, other := range []raft.ServerAddress{Address("b", "id-of-before"), Address("b", ""), Address("b", "id-a")} {
 		before := refusals.Load()
 		if _, err := a.Dial(other, 10*time.Second); err == nil || !strings.Contains(err.Error(), "421") || !strings.Contains(err.Error(), "identity") {
@@ -97,22 +97,22 @@
 }
 
 // TestRestedConnection has the other side close connections that raft still keeps for its next call.
-func TestRestedConnection(t *testing.T) {
-	a, b, to, dials, _ := pair(t)
-	echo(b)
+func TestIdleConnectionIsRedialled(t *testing.T) {
+	a, b, to, dials, _ := newPair(t)
+	serveEcho(b)
 	c, err := a.Dial(to, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	say(t, c, "one")
+	checkEcho(t, c, "one")
 	out := c.(*outgoing)
-	rest := func() {
+	makeIdle := func() {
 		out.mu.Lock()
-		out.used = out.used.Add(-2 * rested)
+		out.lastUsed = out.lastUsed.Add(-2 * idleCheckAfter)
 		out.mu.Unlock()
 	}
-	rest()
-	say(t, c, "two")
+	makeIdle()
+	checkEcho(t, c, "two")
 	if n := dials.Load(); n != 1 {
 		t.Fatalf("%d dials: a live connection is dialled anew", n)
 	}
@@ -129,8 +129,8 @@
 	if _, err := out.conn.Read(one); err != io.EOF { // the end has arrived
 		t.Fatal(err)
 	}
-	rest()
-	say(t, c, "three")
+	makeIdle()
+	checkEcho(t, c, "three")
 	if n := dials.Load(); n != 2 {
 		t.Fatalf("%d dials", n)
 	}
@@ -140,10 +140,10 @@
 	}
 }
 
-func TestBoundOfConnections(t *testing.T) {
-	a, b, to, _, _ := pair(t)
-	echo(b)
-	for i := range mostIncoming {
+func TestIncomingConnectionLimit(t *testing.T) {
+	a, b, to, _, _ := newPair(t)
+	serveEcho(b)
+	for i := range maxIncoming {
 		if _, err := a.Dial(to, 10*time.Second); err != nil {
 			t.Fatal(fmt.Errorf("connection %d: %w", i, err))
 		}
--- a/internal/cluster/voter/link/pipeline.go
+++ b/internal/cluster/voter/link/pipeline.go
@@ -18,7 +18,7 @@
 		return nil, err
 	}
 	p := &pipeline{AppendPipeline: inner, out: make(chan raft.AppendFuture), closed: make(chan struct{})}
-	go p.carry()
+	go p.forward()
 	return p, nil
 }
 
@@ -40,19 +40,19 @@
 	return p.AppendPipeline.Close()
 }
 
-func (p *pipeline) carry() {
-	var held []raft.AppendFuture
+func (p *pipeline) forward() {
+	var queue []raft.AppendFuture
 	for {
 		var out chan<- raft.AppendFuture
 		var first raft.AppendFuture
-		if len(held) > 0 {
-			out, first = p.out, held[0]
+		if len(queue) > 0 {
+			out, first = p.out, queue[0]
 		}
 		select {
 		case f := <-p.AppendPipeline.Consumer():
-			held = append(held, f)
+			queue = append(queue, f)
 		case out <- first:
-			held = held[1:]
+			queue = queue[1:]
 		case <-p.closed:
 			return
 		}
--- a/internal/cluster/voter/link/pipeline_test.go
+++ b/internal/cluster/voter/link/pipeline_test.go
@@ -10,13 +10,13 @@
 
 // TestPipelineWithoutDecoder sends by a pipeline whose answers nobody takes: raft's decoder ends at the first that says no.
 func TestPipelineWithoutDecoder(t *testing.T) {
-	a, b, to, _, _ := pair(t)
-	made := func(l *Layer) *raft.NetworkTransport {
+	a, b, to, _, _ := newPair(t)
+	newTransport := func(l *Layer) *raft.NetworkTransport {
 		n := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: l, MaxPool: 3, Timeout: 10 * time.Second, Logger: hclog.NewNullLogger()})
 		t.Cleanup(func() { n.CloseStreams(); n.Close() })
 		return n
 	}
-	near, far := made(a), made(b)
+	near, far := newTransport(a), newTransport(b)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
--- a/internal/cluster/voter/patient.go
+++ b/internal/cluster/voter/patient.go
@@ -12,54 +12,54 @@
 // patient is raft's transport, but for what a leader does about a follower that does not answer. raft tries again after a time
 // that doubles with each failure, up to 10 s: a follower that was away for half a minute would hear of no entry for so long
 // after it is back. Here heartbeats are tried again each beat, and entries wait until one was answered.
-type patient struct {
+type retryTransport struct {
 	link.Transport
-	send    func(raft.ServerID, raft.ServerAddress, *raft.AppendEntriesRequest, *raft.AppendEntriesResponse) error
-	beat    time.Duration
-	current func(id raft.ServerID, term uint64) bool // this voter leads in that term, and its configuration has that follower
-	done    chan struct{}
+	send       func(raft.ServerID, raft.ServerAddress, *raft.AppendEntriesRequest, *raft.AppendEntriesResponse) error
+	interval   time.Duration
+	replicates func(id raft.ServerID, term uint64) bool // this voter leads in that term, and its configuration has that follower
+	done       chan struct{}
 
-	mu     sync.Mutex
-	waits  map[raft.ServerID]chan struct{} // closed once a heartbeat is answered
-	closed bool
+	mu      sync.Mutex
+	waiters map[raft.ServerID]chan struct{} // closed once a heartbeat is answered
+	closed  bool
 }
 
-func newPatient(t *raft.NetworkTransport, beat time.Duration, current func(raft.ServerID, uint64) bool) *patient {
-	return &patient{Transport: link.Transport{NetworkTransport: t}, send: t.AppendEntries, beat: beat, current: current,
-		done: make(chan struct{}), waits: map[raft.ServerID]chan struct{}{}}
+func newRetryTransport(t *raft.NetworkTransport, interval time.Duration, replicates func(raft.ServerID, uint64) bool) *retryTransport {
+	return &retryTransport{Transport: link.Transport{NetworkTransport: t}, send: t.AppendEntries, interval: interval, replicates: replicates,
+		done: make(chan struct{}), waiters: map[raft.ServerID]chan struct{}{}}
 }
 
 // AppendEntries implements raft.Transport. Of a follower that does not answer the error comes when it does again, or when
 // there is no use in waiting.
-func (p *patient) AppendEntries(id raft.ServerID, to raft.ServerAddress, ask *raft.AppendEntriesRequest, said *raft.AppendEntriesResponse) error {
-	if ask.LeaderCommitIndex > 0 || len(ask.Entries) > 0 {
-		err := p.send(id, to, ask, said)
-		for err != nil && p.current(id, ask.Term) && !p.answered(id) {
+func (p *retryTransport) AppendEntries(id raft.ServerID, target raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) error {
+	if request.LeaderCommitIndex > 0 || len(request.Entries) > 0 {
+		err := p.send(id, target, request, response)
+		for err != nil && p.replicates(id, request.Term) && !p.waitHeartbeat(id) {
 		}
 		return err
 	}
 	for {
-		err := p.send(id, to, ask, said)
+		err := p.send(id, target, request, response)
 		if err == nil {
-			p.wake(id)
+			p.heartbeatAnswered(id)
 			return nil
 		}
-		if !p.pause() || !p.current(id, ask.Term) {
+		if !p.sleep() || !p.replicates(id, request.Term) {
 			return err
 		}
 	}
 }
 
 // answered waits for the next answered heartbeat, for a beat.
-func (p *patient) answered(id raft.ServerID) bool {
+func (p *retryTransport) waitHeartbeat(id raft.ServerID) bool {
 	p.mu.Lock()
-	wait, ok := p.waits[id]
+	wait, ok := p.waiters[id]
 	if !ok {
 		wait = make(chan struct{})
-		p.waits[id] = wait
+		p.waiters[id] = wait
 	}
 	p.mu.Unlock()
-	timer := time.NewTimer(p.beat)
+	timer := time.NewTimer(p.interval)
 	defer timer.Stop()
 	select {
 	case <-wait:
@@ -70,18 +70,18 @@
 	return true
 }
 
-func (p *patient) wake(id raft.ServerID) {
+func (p *retryTransport) heartbeatAnswered(id raft.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if wait, ok := p.waits[id]; ok {
+	if wait, ok := p.waiters[id]; ok {
 		close(wait)
-		delete(p.waits, id)
+		delete(p.waiters, id)
 	}
 }
 
 // pause is false once this is closed.
-func (p *patient) pause() bool {
-	timer := time.NewTimer(p.beat)
+func (p *retryTransport) sleep() bool {
+	timer := time.NewTimer(p.interval)
 	defer timer.Stop()
 	select {
 	case <-p.done:
@@ -92,7 +92,7 @@
 }
 
 // Close implements raft.WithClose.
-func (p *patient) Close() error {
+func (p *retryTransport) Close() error {
 	p.mu.Lock()
 	if !p.closed {
 		p.closed = true
@@ -103,6 +103,6 @@
 }
 
 // AppendEntriesPipeline implements raft.Transport.
-func (p *patient) AppendEntriesPipeline(id raft.ServerID, to raft.ServerAddress) (raft.AppendPipeline, error) {
-	return link.Transport{NetworkTransport: p.NetworkTransport}.AppendEntriesPipeline(id, to)
+func (p *retryTransport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
+	return link.Transport{NetworkTransport: p.NetworkTransport}.AppendEntriesPipeline(id, target)
 }
--- a/internal/cluster/voter/patient_test.go
+++ b/internal/cluster/voter/patient_test.go
@@ -11,42 +11,42 @@
 
 // TestPatient has a follower that does not answer: entries get their error once a heartbeat is answered, or there is no use in
 // waiting, and heartbeats are tried again until then.
-func TestPatient(t *testing.T) {
+func TestRetryTransport(t *testing.T) {
 	heartbeat, entries := &raft.AppendEntriesRequest{Term: 3}, &raft.AppendEntriesRequest{Term: 3, LeaderCommitIndex: 1}
-	gone := errors.New("gone")
-	for name, end := range map[string]func(p *patient, there, leads *atomic.Bool){
-		"answers":   func(_ *patient, there, _ *atomic.Bool) { there.Store(true) },
-		"deposed":   func(_ *patient, _, leads *atomic.Bool) { leads.Store(false) },
-		"is closed": func(p *patient, _, leads *atomic.Bool) { close(p.done); leads.Store(false) },
+	errUnreachable := errors.New("gone")
+	for name, end := range map[string]func(p *retryTransport, reachable, isLeader *atomic.Bool){
+		"answers":   func(_ *retryTransport, reachable, _ *atomic.Bool) { reachable.Store(true) },
+		"deposed":   func(_ *retryTransport, _, isLeader *atomic.Bool) { isLeader.Store(false) },
+		"is closed": func(p *retryTransport, _, isLeader *atomic.Bool) { close(p.done); isLeader.Store(false) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var there, leads atomic.Bool
-			leads.Store(true)
+			var reachable, isLeader atomic.Bool
+			isLeader.Store(true)
 			tried, failed := make(chan bool, 3), make(chan bool, 1)
-			p := &patient{beat: time.Millisecond, done: make(chan struct{}), waits: map[raft.ServerID]chan struct{}{}}
-			p.current = func(id raft.ServerID, term uint64) bool { return leads.Load() && id == "x" && term == 3 }
-			p.send = func(_ raft.ServerID, _ raft.ServerAddress, ask *raft.AppendEntriesRequest, _ *raft.AppendEntriesResponse) error {
-				if ask == entries {
+			p := &retryTransport{interval: time.Millisecond, done: make(chan struct{}), waiters: map[raft.ServerID]chan struct{}{}}
+			p.replicates = func(id raft.ServerID, term uint64) bool { return isLeader.Load() && id == "x" && term == 3 }
+			p.send = func(_ raft.ServerID, _ raft.ServerAddress, request *raft.AppendEntriesRequest, _ *raft.AppendEntriesResponse) error {
+				if request == entries {
 					failed <- true
-					return gone
+					return errUnreachable
 				}
 				select {
 				case tried <- true:
 				default:
 				}
-				if there.Load() {
+				if reachable.Load() {
 					return nil
 				}
-				return gone
+				return errUnreachable
 			}
-			answers := make(chan error, 1)
-			go func() { answers <- p.AppendEntries("x", "", entries, nil) }()
+			result := make(chan error, 1)
+			go func() { result <- p.AppendEntries("x", "", entries, nil) }()
 			<-failed
-			beats := make(chan struct{})
+			heartbeatsDone := make(chan struct{})
 			go func() {
-				defer close(beats)
-				for leads.Load() {
-					if err := p.AppendEntries("x", "", heartbeat, nil); (err == nil) != there.Load() && leads.Load() {
+				defer close(heartbeatsDone)
+				for isLeader.Load() {
+					if err := p.AppendEntries("x", "", heartbeat, nil); (err == nil) != reachable.Load() && isLeader.Load() {
 						t.Error(err)
 					}
 				}
@@ -55,16 +55,16 @@
 				<-tried
 			}
 			select {
-			case err := <-answers:
+			case err := <-result:
 				t.Fatal("it does not wait", err)
 			default:
 			}
-			end(p, &there, &leads)
-			if err := <-answers; !errors.Is(err, gone) {
+			end(p, &reachable, &isLeader)
+			if err := <-result; !errors.Is(err, errUnreachable) {
 				t.Error(err)
 			}
-			leads.Store(false)
-			<-beats
+			isLeader.Store(false)
+			<-heartbeatsDone
 		})
 	}
 }
--- a/internal/cluster/voter/peers.go
+++ b/internal/cluster/voter/peers.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	mostBody   = 4 << 20
-	hopsHeader = "Burlpass-Handed-On" // set on a call that another voter hands on
+	maxBodyBytes    = 4 << 20
+	forwardedHeader = "Burlpass-Handed-On" // set on a call that another voter hands on
 )
 
 // peers makes the calls to other voters that are not raft's own.
@@ -50,24 +50,24 @@
 }
 
 // errUnsent says that a call was surely not made.
-var errUnsent = errors.New("no connection")
+var errNotSent = errors.New("no connection")
 
 // call asks a voter. The error is a *refusal where the other side has answered with one, and errUnsent where it was surely
 // not asked.
 func (p *peers) call(ctx context.Context, name, method, path string, in, out any) error {
-	return p.handOn(ctx, name, method, path, in, out, false)
+	return p.forward(ctx, name, method, path, in, out, false)
 }
 
-func (p *peers) handOn(ctx context.Context, name, method, path string, in, out any, handed bool) error {
+func (p *peers) forward(ctx context.Context, name, method, path string, in, out any, forwarded bool) error {
 	addr := p.c.address(name)
 	if addr == "" {
-		return fmt.Errorf("%w: %q is no voter of the configuration", errUnsent, name)
+		return fmt.Errorf("%w: %q is no voter of the configuration", errNotSent, name)
 	}
 	var body io.Reader
 	if in != nil {
 		text, err := json.Marshal(in)
 		if err != nil {
-			return fmt.Errorf("%w: %w", errUnsent, err)
+			return fmt.Errorf("%w: %w", errNotSent, err)
 		}
 		body = bytes.NewReader(text)
 	}
@@ -75,46 +75,46 @@
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
 	r, err := http.NewRequestWithContext(traced, method, "http://"+addr+path, body)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUnsent, err)
+		return fmt.Errorf("%w: %w", errNotSent, err)
 	}
-	if handed {
-		r.Header.Set(hopsHeader, "1")
+	if forwarded {
+		r.Header.Set(forwardedHeader, "1")
 	}
 	resp, err := p.client.Do(r)
 	if err != nil && !connected.Load() {
-		return fmt.Errorf("%w: %w", errUnsent, err)
+		return fmt.Errorf("%w: %w", errNotSent, err)
 	}
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode == http.StatusOK {
 		return json.Unmarshal(text, out)
 	}
-	said := &refusal{status: resp.StatusCode}
-	if json.Unmarshal(text, said) != nil || said.Error() == "" {
+	refused := &refusal{status: resp.StatusCode}
+	if json.Unmarshal(text, refused) != nil || refused.Error() == "" {
 		return fmt.Errorf("%s: %.200q", resp.Status, text)
 	}
-	return said
+	return refused
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func refuse(w http.ResponseWriter, status int, r refusal) { answer(w, status, r) }
+func writeRefusal(w http.ResponseWriter, status int, r refusal) { writeJSON(w, status, r) }
 
 // decode reads a call's body; false where it has been refused.
-func decode(w http.ResponseWriter, r *http.Request, to any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody))
+func decodeBody(w http.ResponseWriter, r *http.Request, to any) bool {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err := d.Decode(to); err != nil {
-		refuse(w, http.StatusBadRequest, refusal{Refused: "body: " + err.Error()})
+		writeRefusal(w, http.StatusBadRequest, refusal{Refused: "body: " + err.Error()})
 		return false
 	}
 	return true
--- a/internal/cluster/voter/place_test.go
+++ b/internal/cluster/voter/place_test.go
@@ -19,41 +19,41 @@
 }
 
 // TestOldDisk replaces a voter and brings its old folder back. internal/clustertest/hard does the same with processes.
-func TestOldDisk(t *testing.T) {
+func TestReplacedDiskReturns(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{Call: 500 * time.Millisecond}
+	c.timings = Timings{CallTimeout: 500 * time.Millisecond}
 	c.open()
 	d := c.others(c.leader())[0]
 	others := c.others(d)
 	others[0].write("a", "w", 0)
-	old := d.v.Status().Identity
-	aside := t.TempDir()
+	oldIdentity := d.v.Status().Identity
+	otherFolder := t.TempDir()
 	swap := func() {
 		d.close()
-		d.swapFolder(aside)
+		d.swapFolder(otherFolder)
 		d.open()
 	}
 	swap()
-	c.votes(d, others...)
-	now := d.v.Status().Identity
+	c.waitVoter(d, others...)
+	newIdentity := d.v.Status().Identity
 	swap()
 	c.eventually("it says that it was replaced", func() bool { return d.v.Status().State == "failed" })
-	if fault := d.v.Status().Fault; !strings.Contains(fault, old) || !strings.Contains(fault, now) || strings.Contains(fault, "\n") {
+	if fault := d.v.Status().Fault; !strings.Contains(fault, oldIdentity) || !strings.Contains(fault, newIdentity) || strings.Contains(fault, "\n") {
 		t.Fatal(fault)
 	}
-	if d.lines.count("cluster_replaced_elsewhere") != 1 || d.lines.count("cluster_disk") != 0 {
+	if d.logs.count("cluster_replaced_elsewhere") != 1 || d.logs.count("cluster_disk") != 0 {
 		t.Fatal("it is not logged once, and as what it is")
 	}
 	others[1].write("b", "w2", 0)
 	swap() // the one that counts
-	c.votes(d, others...)
-	d.has("w", "w2")
+	c.waitVoter(d, others...)
+	d.waitShows("w", "w2")
 }
 
 // TestNoLeaderIsNoReplacement leaves a voter without a leader for longer than it takes to ask: it is one still.
-func TestNoLeaderIsNoReplacement(t *testing.T) {
+func TestNoLeaderIsNotReplacement(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{Call: 200 * time.Millisecond}
+	c.timings = Timings{CallTimeout: 200 * time.Millisecond}
 	c.open()
 	leader := c.leader()
 	others := c.others(leader)
--- a/internal/cluster/voter/read.go
+++ b/internal/cluster/voter/read.go
@@ -12,7 +12,7 @@
 // Read gives this voter's own state. A consistent one asks the leader which version holds every write that was acknowledged
 // before, and waits until that one is here.
 func (v *Voter) Read(ctx context.Context, consistent bool) (record.View, time.Duration, error) {
-	if err := v.failed(); err != nil {
+	if err := v.failure(); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrRefused, err)
 	}
 	if !consistent {
@@ -24,38 +24,38 @@
 		return r.View(), age, nil
 	}
 	began := time.Now()
-	i, err := v.waitIndex(ctx)
+	index, err := v.awaitReadIndex(ctx)
 	if err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrRefused, err)
 	}
 	for {
 		changed := v.fsm.replica.Changed()
-		if view := v.fsm.replica.View(); view.Version() >= i.Version {
+		if view := v.fsm.replica.View(); view.Version() >= index.Version {
 			return view, time.Since(began), nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, 0, fmt.Errorf("%w: waiting for version %d here: %w", api.ErrRefused, i.Version, ctx.Err())
+			return nil, 0, fmt.Errorf("%w: waiting for version %d here: %w", api.ErrRefused, index.Version, ctx.Err())
 		}
 	}
 }
 
 // waitIndex asks for a read index again while there is patience.
-func (v *Voter) waitIndex(ctx context.Context) (index, error) {
-	patience, cancel := context.WithTimeout(ctx, v.c.Timings.Patience)
+func (v *Voter) awaitReadIndex(ctx context.Context) (readIndexReply, error) {
+	waitCtx, cancel := context.WithTimeout(ctx, v.c.Timings.LeaderWait)
 	defer cancel()
 	for {
-		try, done := context.WithTimeout(patience, v.c.Timings.Call)
-		i, err := v.askIndex(try, false)
-		done()
-		if err == nil || v.failed() != nil {
-			return i, err
+		callCtx, cancelCall := context.WithTimeout(waitCtx, v.c.Timings.CallTimeout)
+		index, err := v.requestReadIndex(callCtx, false)
+		cancelCall()
+		if err == nil || v.failure() != nil {
+			return index, err
 		}
 		select {
-		case <-time.After(pause):
-		case <-patience.Done():
-			return i, err
+		case <-time.After(retryInterval):
+		case <-waitCtx.Done():
+			return index, err
 		}
 	}
 }
--- a/internal/cluster/voter/replace_test.go
+++ b/internal/cluster/voter/replace_test.go
@@ -36,7 +36,7 @@
 }
 
 // votes waits until a node says of itself that it has joined, under an identity that all nodes given name as a voter.
-func (c *cluster) votes(d *node, by ...*node) {
+func (c *cluster) waitVoter(d *node, by ...*node) {
 	c.t.Helper()
 	c.eventually(d.peer.Name+" has its vote", func() bool {
 		s := d.v.Status()
@@ -73,12 +73,12 @@
 	others := c.others(old)
 	others[0].write("meanwhile", "m", 0)
 	old.open()
-	c.votes(old, others...)
+	c.waitVoter(old, others...)
 	after := old.v.Status()
 	if after.Identity == before.Identity || after.Cluster != before.Cluster {
 		t.Fatalf("%+v after %+v", after, before)
 	}
-	old.has("w0", "w59", "m")
+	old.waitShows("w0", "w59", "m")
 	if old.v.Replica().View().Version() < record.Version(before.Version) {
 		t.Fatal("the new identity shows less than was shown")
 	}
@@ -86,24 +86,24 @@
 	others[1].kill()
 	others[0].write("with-the-new-one", "n", 0)
 
-	ours := others[0].v.Status().Identity
-	layer := link.New(link.Config{Cluster: after.Cluster, Name: others[0].peer.Name, Identity: ours,
-		Address: func(string) string { return old.peer.Addr }, Dial: (&net.Dialer{}).DialContext, Refused: func(by, of, why string) {}})
-	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, Timeout: 5 * time.Second, Logger: newRaftLog(others[0].v.lines)})
-	defer trans.Close()
-	defer trans.CloseStreams()
-	request := raft.RequestVoteRequest{RPCHeader: raft.RPCHeader{ProtocolVersion: 3, ID: []byte(ours), Addr: []byte(link.Address(others[0].peer.Name, ours))},
+	ownIdentity := others[0].v.Status().Identity
+	layer := link.New(link.Config{Cluster: after.Cluster, Name: others[0].peer.Name, Identity: ownIdentity,
+		Address: func(string) string { return old.peer.Addr }, Dial: (&net.Dialer{}).DialContext, OnRefused: func(by, of, why string) {}})
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, Timeout: 5 * time.Second, Logger: newRaftLog(others[0].v.throttled)})
+	defer transport.Close()
+	defer transport.CloseStreams()
+	request := raft.RequestVoteRequest{RPCHeader: raft.RPCHeader{ProtocolVersion: 3, ID: []byte(ownIdentity), Addr: []byte(link.Address(others[0].peer.Name, ownIdentity))},
 		Term: 1000, LastLogIndex: 1 << 40, LastLogTerm: 999}
 	var vote raft.RequestVoteResponse
-	err := trans.RequestVote(raft.ServerID(before.Identity), link.Address(old.peer.Name, before.Identity), &request, &vote)
+	err := transport.RequestVote(raft.ServerID(before.Identity), link.Address(old.peer.Name, before.Identity), &request, &vote)
 	if err == nil || vote.Granted || !strings.Contains(err.Error(), "421") {
 		t.Fatalf("the identity whose votes are lost answers: %v, %+v", err, vote)
 	}
 	// The same request, meant for the one that it is now, gets through: it was refused for the identity alone.
-	if err := trans.RequestVote(raft.ServerID(after.Identity), link.Address(old.peer.Name, after.Identity), &request, &vote); err != nil {
+	if err := transport.RequestVote(raft.ServerID(after.Identity), link.Address(old.peer.Name, after.Identity), &request, &vote); err != nil {
 		t.Fatal(err)
 	}
-	if s, text := ask(t, old.peer.Addr, link.Path, http.Header{"Connection": {"Upgrade"}, "Upgrade": {"burlpass-raft-1"},
+	if s, text := get(t, old.peer.Addr, link.Path, http.Header{"Connection": {"Upgrade"}, "Upgrade": {"burlpass-raft-1"},
 		"Burlpass-Cluster": {disk.NewID()}, "Burlpass-To": {after.Identity}}); s != http.StatusMisdirectedRequest || !strings.Contains(text, "another cluster") {
 		t.Fatalf("%d %s", s, text)
 	}
@@ -111,7 +111,7 @@
 
 // TestFirstStartedAgainOnItsWay: the first voter has lost its disk, has kept the cluster's id, and ends before anything of the
 // log came, or when only a term has come.
-func TestFirstStartedAgainOnItsWay(t *testing.T) {
+func TestFirstVoterRestartsWhileJoining(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	c.nodes[1].write("order", "w0", 0)
@@ -120,7 +120,7 @@
 	for _, term := range []bool{false, true} {
 		first.close()
 		first.wipe()
-		d, err := disk.Open(first.folder, "plant", first.peer.Name, newRaftLog(newSparse(slog.Default())))
+		d, err := disk.Open(first.folder, "plant", first.peer.Name, newRaftLog(newThrottledLog(slog.Default())))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,13 +131,13 @@
 			t.Fatal(err)
 		}
 		first.open()
-		c.votes(first, c.nodes[1:]...)
-		first.has("w0")
+		c.waitVoter(first, c.nodes[1:]...)
+		first.waitShows("w0")
 	}
 }
 
 // TestReplacedWhileLeadersChange kills the leader again and again while a voter is taken in.
-func TestReplacedWhileLeadersChange(t *testing.T) {
+func TestReplacementDuringLeaderChanges(t *testing.T) {
 	c := newCluster(t, 5)
 	c.open()
 	c.nodes[0].write("a", "w", 0)
@@ -151,12 +151,12 @@
 		c.leader(c.others(lost)...)
 		leader.open()
 	}
-	c.votes(lost, c.nodes...)
-	lost.has("w")
+	c.waitVoter(lost, c.nodes...)
+	lost.waitShows("w")
 }
 
 // TestTwoLost has two of five lose their disks at once; the configuration changes one by one.
-func TestTwoLost(t *testing.T) {
+func TestTwoDisksLost(t *testing.T) {
 	c := newCluster(t, 5)
 	c.open()
 	c.nodes[0].write("a", "w", 0)
@@ -168,16 +168,16 @@
 		d.open()
 	}
 	for _, d := range c.nodes[:2] {
-		c.votes(d, c.nodes...)
-		d.has("w")
+		c.waitVoter(d, c.nodes...)
+		d.waitShows("w")
 	}
-	if formed := c.nodes[0].lines.count("cluster_formed"); formed != 1 {
+	if formed := c.nodes[0].logs.count("cluster_formed"); formed != 1 {
 		t.Fatalf("formed %d times", formed)
 	}
 }
 
 // TestClaimRace has two voters that both take themselves for the first, by lists in different orders.
-func TestClaimRace(t *testing.T) {
+func TestConflictingClaims(t *testing.T) {
 	c := newCluster(t, 3)
 	list := c.nodes[0].voters
 	c.nodes[1].voters = []Peer{list[1], list[0], list[2]}
@@ -188,25 +188,25 @@
 	}
 	opened.Wait()
 	refused := func(d *node) func() bool {
-		return func() bool { return d.lines.count("cluster_claim_refused") > 0 }
+		return func() bool { return d.logs.count("cluster_claim_refused") > 0 }
 	}
 	c.eventually("the first refuses the second", refused(c.nodes[0]))
 	c.eventually("the second refuses the first", refused(c.nodes[1]))
 	c.eventually("the third refuses the second", refused(c.nodes[2]))
 	for _, d := range c.nodes {
-		if s := d.v.Status(); len(s.Voters) > 0 || d.lines.count("cluster_formed") > 0 {
+		if s := d.v.Status(); len(s.Voters) > 0 || d.logs.count("cluster_formed") > 0 {
 			t.Fatalf("formed: %+v", s)
 		}
 	}
 	c.nodes[1].close()
 	c.nodes[1].voters = list // mended; its folder knows nothing of the other list
 	c.nodes[1].open()
-	c.votes(c.nodes[1], c.nodes...)
+	c.waitVoter(c.nodes[1], c.nodes...)
 	c.nodes[1].write("a", "w", 0)
 }
 
 // TestClaimTakenBack has the first voter lose its disk while it forms: its next claim holds, until there is state.
-func TestClaimTakenBack(t *testing.T) {
+func TestClaimRepeatedAfterDiskLoss(t *testing.T) {
 	c := newCluster(t, 3)
 	c.nodes[0].open()
 	c.nodes[1].open()
@@ -220,9 +220,9 @@
 		t.Fatalf("%s after %s", now, first)
 	}
 	v := c.nodes[1].v
-	var said claimed
-	err := c.nodes[0].v.peers.call(context.Background(), "v2", http.MethodPost, "/v1/claim", claim{ClusterName: "plant", Cluster: disk.NewID(),
-		Name: "v1", Identity: disk.NewID(), Listed: v.c.listed()}, &said)
+	var reply claimReply
+	err := c.nodes[0].v.peers.call(context.Background(), "v2", http.MethodPost, "/v1/claim", claimRequest{ClusterName: "plant", Cluster: disk.NewID(),
+		Name: "v1", Identity: disk.NewID(), VotersHash: v.c.votersHash()}, &reply)
 	if r, ok := err.(*refusal); !ok || !r.State {
 		t.Fatalf("a claim on a disk with state: %v", err)
 	}
--- a/internal/cluster/voter/replaced.go
+++ b/internal/cluster/voter/replaced.go
@@ -36,11 +36,11 @@
 		if entry.Type != raft.LogConfiguration {
 			continue
 		}
-		if listed(raft.DecodeConfiguration(entry.Data), raft.ServerID(identity)) {
+		if isMember(raft.DecodeConfiguration(entry.Data), raft.ServerID(identity)) {
 			return &membership{Index: index, Term: entry.Term}, nil
 		}
 	}
-	if snapshot != nil && listed(snapshot.Configuration, raft.ServerID(identity)) {
+	if snapshot != nil && isMember(snapshot.Configuration, raft.ServerID(identity)) {
 		return &membership{Index: snapshot.ConfigurationIndex, Committed: true}, nil
 	}
 	return nil, nil
@@ -83,27 +83,27 @@
 
 // takenOut tells whether an entrant was a member before and is none by what is committed now, and which identity has its name
 // ("" for none). Its errors are those of place and of the disk.
-func (v *Voter) takenOut(ctx context.Context, run *running, e entrant) (out bool, holder string, err error) {
-	if e.Member == nil {
+func (v *Voter) wasRemoved(ctx context.Context, run *raftRun, request joinRequest) (removed bool, holder string, err error) {
+	if request.Member == nil {
 		return false, "", nil
 	}
-	now, err := v.place(ctx, run, asked{e.Name, e.Identity})
-	if err != nil || now.Listed {
+	current, err := v.lookUpHolder(ctx, run, holderRequest{request.Name, request.Identity})
+	if err != nil || current.IsMember {
 		return false, "", err
 	}
 	err = guarded(func() (err error) {
-		out, err = wasCommitted(v.disk.Store, e.Member)
+		removed, err = wasCommitted(v.disk.Store, request.Member)
 		return err
 	})
-	return out, now.Holder, err
+	return removed, current.Holder, err
 }
 
 // replaced ends this voter's part: its identity was taken out, and another may have its name.
-func (v *Voter) replaced(identity, holder string) {
+func (v *Voter) failReplaced(identity, holder string) {
 	by := "nobody"
 	if holder != "" {
 		by = "the identity " + holder
 	}
-	v.end("cluster_replaced_elsewhere", fmt.Errorf("%s: the identity %s was taken out of the cluster, and %s has the name %q now: "+
+	v.failWith("cluster_replaced_elsewhere", fmt.Errorf("%s: the identity %s was taken out of the cluster, and %s has the name %q now: "+
 		"this voter counts for nothing; empty the folder and restart it, so that it joins anew, or leave it down", v.c.Folder, identity, by, v.c.Name))
 }
--- a/internal/cluster/voter/replaced_test.go
+++ b/internal/cluster/voter/replaced_test.go
@@ -15,7 +15,7 @@
 
 // forgetVote takes back, on a closed node's disk, the note that it has had its vote: as a process leaves it that is killed
 // between the entry that gave it the vote and the note.
-func (d *node) forgetVote() {
+func (d *node) clearVoted() {
 	d.c.t.Helper()
 	path := filepath.Join(d.folder, "identity")
 	text, err := os.ReadFile(path)
@@ -33,41 +33,41 @@
 
 // TestOldDiskWithoutItsVote brings back the disk of an identity that was taken out, whose process was killed before it had
 // noted its vote, so that it asks to be taken in. It must not displace the identity that has its name.
-func TestOldDiskWithoutItsVote(t *testing.T) {
+func TestReplacedDiskWithoutVoteReturns(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{Call: 500 * time.Millisecond}
+	c.timings = Timings{CallTimeout: 500 * time.Millisecond}
 	c.open()
 	d := c.others(c.leader())[0]
 	others := c.others(d)
 	others[0].write("a", "w", 0)
-	d.has("w")
-	old := d.v.Status().Identity
+	d.waitShows("w")
+	oldIdentity := d.v.Status().Identity
 	d.close()
-	d.forgetVote()
-	aside := t.TempDir()
+	d.clearVoted()
+	otherFolder := t.TempDir()
 	swap := func() {
-		d.swapFolder(aside)
+		d.swapFolder(otherFolder)
 		d.open()
 	}
 	swap()
-	c.votes(d, others...)
-	now := d.v.Status().Identity
+	c.waitVoter(d, others...)
+	newIdentity := d.v.Status().Identity
 	d.close()
 	swap()
 	c.eventually("it says that it was replaced", func() bool { return d.v.Status().State == "failed" })
-	if fault := d.v.Status().Fault; !strings.Contains(fault, old) || !strings.Contains(fault, now) {
+	if fault := d.v.Status().Fault; !strings.Contains(fault, oldIdentity) || !strings.Contains(fault, newIdentity) {
 		t.Fatal(fault)
 	}
 	d.close()
 	swap() // the one that counts
-	c.votes(d, others...)
-	if s := d.v.Status(); s.Identity != now {
-		t.Fatalf("the identity %s has the name, and %s was taken in", s.Identity, now)
+	c.waitVoter(d, others...)
+	if s := d.v.Status(); s.Identity != newIdentity {
+		t.Fatalf("the identity %s has the name, and %s was taken in", s.Identity, newIdentity)
 	}
 }
 
 // TestWasMember tells a configuration that was committed from one that a leader lost before it was.
-func TestWasMember(t *testing.T) {
+func TestWasCommitted(t *testing.T) {
 	id := disk.NewID()
 	entry := func(index, term uint64, ids ...string) *raft.Log {
 		var c raft.Configuration
@@ -76,17 +76,17 @@
 		}
 		return &raft.Log{Index: index, Term: term, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(c)}
 	}
-	own, leaders := raft.NewInmemStore(), raft.NewInmemStore()
+	ownLog, leaderLog := raft.NewInmemStore(), raft.NewInmemStore()
 	store := func(to *raft.InmemStore, logs ...*raft.Log) {
 		if err := to.StoreLogs(logs); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if m, err := lastMembership(own, nil, id); err != nil || m != nil {
+	if m, err := lastMembership(ownLog, nil, id); err != nil || m != nil {
 		t.Fatalf("%+v, %v of an empty log", m, err)
 	}
-	store(own, entry(1, 1, "another"), entry(2, 1, id), entry(3, 2, id), entry(4, 2, "another"))
-	m, err := lastMembership(own, nil, id)
+	store(ownLog, entry(1, 1, "another"), entry(2, 1, id), entry(3, 2, id), entry(4, 2, "another"))
+	m, err := lastMembership(ownLog, nil, id)
 	if err != nil || m == nil || *m != (membership{Index: 3, Term: 2}) {
 		t.Fatalf("%+v, %v", m, err)
 	}
@@ -100,9 +100,9 @@
 		{"the log begins after it", []*raft.Log{entry(4, 5, "another")}, true},
 		{"the log ends before it", []*raft.Log{entry(1, 1, "another"), entry(2, 1, id)}, false},
 	} {
-		leaders = raft.NewInmemStore()
-		store(leaders, c.logs...)
-		if was, err := wasCommitted(leaders, m); err != nil || was != c.want {
+		leaderLog = raft.NewInmemStore()
+		store(leaderLog, c.logs...)
+		if was, err := wasCommitted(leaderLog, m); err != nil || was != c.want {
 			t.Errorf("%s: %v, %v", c.what, was, err)
 		}
 	}
@@ -111,7 +111,7 @@
 	if err != nil || m == nil || !m.Committed {
 		t.Fatalf("%+v, %v of a snapshot", m, err)
 	}
-	if was, err := wasCommitted(leaders, m); err != nil || !was {
+	if was, err := wasCommitted(leaderLog, m); err != nil || !was {
 		t.Errorf("a snapshot's configuration: %v, %v", was, err)
 	}
 }
--- a/internal/cluster/voter/restart_test.go
+++ b/internal/cluster/voter/restart_test.go
@@ -27,7 +27,7 @@
 			for i := range records / 200 {
 				worker := fmt.Sprint("w", w, "-", i)
 				base := leader.v.Replica().View().Version() // its results are remembered
-				if r, err := leader.v.Write(context.Background(), order("id-"+worker, worker, base)); err != nil || r.Outcome != record.Applied {
+				if r, err := leader.v.Write(context.Background(), disableOrder("id-"+worker, worker, base)); err != nil || r.Outcome != record.Applied {
 					c.t.Error(r, err)
 					return
 				}
@@ -37,7 +37,7 @@
 	done.Wait()
 }
 
-func heap() int {
+func heapBytes() int {
 	runtime.GC()
 	runtime.GC() // what a finalizer let go
 	var s runtime.MemStats
@@ -46,7 +46,7 @@
 }
 
 // onDisk is what a folder's files hold, and of that the newest snapshot.
-func onDisk(b *testing.B, folder string) (all, snapshot int64) {
+func folderSize(b *testing.B, folder string) (all, snapshot int64) {
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
@@ -92,8 +92,8 @@
 	c.fill(restartRecords)
 	if held == "items" {
 		for _, d := range c.nodes {
-			d.has("w0-0", "w199-499")
-			if err := d.v.running().raft.Snapshot().Error(); err != nil {
+			d.waitShows("w0-0", "w199-499")
+			if err := d.v.currentRun().raft.Snapshot().Error(); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -112,25 +112,25 @@
 				d.close()
 			}
 		}
-		before := heap()
-		began := time.Now()
+		before := heapBytes()
+		start := time.Now()
 		for _, d := range c.nodes {
 			if d.v == nil {
 				d.open()
 			}
 		}
-		opened := time.Since(began)
+		opened := time.Since(start)
 		c.eventually("all is there", func() bool { return last.v.Status().Version >= want })
-		all = append(all, time.Since(began))
+		all = append(all, time.Since(start))
 		if os.Getenv("RESTART_STEPS") != "" {
 			b.Logf("open %v, all %v", opened, all[len(all)-1])
 		}
 		if voters != "three" {
-			b.ReportMetric(float64(heap()-before)/restartRecords, "heap-B/record")
+			b.ReportMetric(float64(heapBytes()-before)/restartRecords, "heap-B/record")
 		}
 	}
 	report(b, "restart", all)
-	disk, snapshot := onDisk(b, last.folder)
+	disk, snapshot := folderSize(b, last.folder)
 	b.ReportMetric(float64(disk)/restartRecords, "disk-B/record")
 	b.ReportMetric(float64(snapshot)/restartRecords, "snapshot-B/record")
 }
--- a/internal/cluster/voter/start.go
+++ b/internal/cluster/voter/start.go
@@ -13,33 +13,33 @@
 )
 
 // running is one start of raft.
-type running struct {
-	cluster string
-	raft    *raft.Raft
-	layer   *link.Layer
-	trans   *patient
-	seen    *raft.Observer
-	ended   chan struct{}
+type raftRun struct {
+	cluster   string
+	raft      *raft.Raft
+	layer     *link.Layer
+	transport *retryTransport
+	observer  *raft.Observer
+	done      chan struct{}
 }
 
-const cached = 1024 // entries of the log that are kept in memory
+const logCacheEntries = 1024 // entries of the log that are kept in memory
 
 // start runs raft on the disk. With a configuration it forms the cluster first. It is called under starts.
-func (v *Voter) start(form *raft.Configuration) error {
-	if err := v.failed(); err != nil {
+func (v *Voter) startRaft(initial *raft.Configuration) error {
+	if err := v.failure(); err != nil {
 		return err
 	}
-	log := newRaftLog(v.lines)
+	log := newRaftLog(v.throttled)
 	id := v.disk.Identity()
-	run := &running{cluster: id.Cluster, ended: make(chan struct{})}
-	run.layer = link.New(link.Config{Cluster: id.Cluster, Name: v.c.Name, Identity: id.Identity, Address: v.c.address, Dial: v.c.Dial, Refused: v.refused})
-	run.trans = newPatient(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: run.layer, MaxPool: 3, Timeout: v.c.Timings.Call, Logger: log,
-	}), v.c.Timings.Beat, func(id raft.ServerID, term uint64) bool { return v.running() == run && run.follows(id, term) })
+	run := &raftRun{cluster: id.Cluster, done: make(chan struct{})}
+	run.layer = link.New(link.Config{Cluster: id.Cluster, Name: v.c.Name, Identity: id.Identity, Address: v.c.address, Dial: v.c.Dial, OnRefused: v.logRefusedLink})
+	run.transport = newRetryTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream: run.layer, MaxPool: 3, Timeout: v.c.Timings.CallTimeout, Logger: log,
+	}), v.c.Timings.HeartbeatInterval, func(id raft.ServerID, term uint64) bool { return v.currentRun() == run && run.replicatesTo(id, term) })
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger, rc.NoLegacyTelemetry = raft.ServerID(id.Identity), log, true
 	rc.HeartbeatTimeout, rc.ElectionTimeout = v.c.Timings.Heartbeat, v.c.Timings.Election
-	rc.LeaderLeaseTimeout, rc.CommitTimeout = v.c.Timings.Lease, v.c.Timings.Commit
+	rc.LeaderLeaseTimeout, rc.CommitTimeout = v.c.Timings.LeaderLease, v.c.Timings.CommitInterval
 	rc.SnapshotInterval, rc.SnapshotThreshold, rc.TrailingLogs = v.c.Timings.Snapshot, v.c.Timings.Threshold, v.c.Timings.Trailing
 	rc.MaxAppendEntries, rc.BatchApplyCh, rc.ShutdownOnRemove = 256, true, false
 	v.disk.Store.OnFault(func(err error) {
@@ -48,53 +48,53 @@
 	})
 	v.disk.Snapshots.OnFault(v.fail)
 	err := guarded(func() (err error) {
-		if form != nil {
-			if err := v.bootstrap(*form); err != nil {
+		if initial != nil {
+			if err := v.bootstrap(*initial); err != nil {
 				return err
 			}
 		}
-		logs, err := raft.NewLogCache(cached, v.disk.Store)
+		logs, err := raft.NewLogCache(logCacheEntries, v.disk.Store)
 		if err != nil {
 			return err
 		}
-		run.raft, err = raft.NewRaft(rc, v.fsm, logs, v.disk.Store, v.disk.Snapshots, run.trans)
+		run.raft, err = raft.NewRaft(rc, v.fsm, logs, v.disk.Store, v.disk.Snapshots, run.transport)
 		return err
 	})
 	if err != nil {
-		run.trans.Close()
+		run.transport.Close()
 		return fmt.Errorf("%w: %s: raft does not start: %w", disk.ErrDamaged, v.c.Folder, err)
 	}
 	v.fsm.started()
-	seen := make(chan raft.Observation, 64)
-	run.seen = raft.NewObserver(seen, false, func(o *raft.Observation) bool {
+	observations := make(chan raft.Observation, 64)
+	run.observer = raft.NewObserver(observations, false, func(o *raft.Observation) bool {
 		switch o.Data.(type) {
 		case raft.LeaderObservation, raft.RaftState:
 			return true
 		}
 		return false
 	})
-	run.raft.RegisterObserver(run.seen)
+	run.raft.RegisterObserver(run.observer)
 	v.mu.Lock()
 	v.run = run
-	v.note()
+	v.notifyChanged()
 	v.mu.Unlock()
-	v.task(func(context.Context) { v.watch(run, seen) })
-	v.task(func(context.Context) { v.watchDisk(run) })
+	v.spawn(func(context.Context) { v.watchLeadership(run, observations) })
+	v.spawn(func(context.Context) { v.watchDisk(run) })
 	return nil
 }
 
 // follows tells whether this voter leads in a term, and is to send a voter what it has.
-func (run *running) follows(id raft.ServerID, term uint64) bool {
-	return run.raft.State() == raft.Leader && run.raft.CurrentTerm() == term && listed(run.raft.GetConfiguration().Configuration(), id)
+func (run *raftRun) replicatesTo(id raft.ServerID, term uint64) bool {
+	return run.raft.State() == raft.Leader && run.raft.CurrentTerm() == term && isMember(run.raft.GetConfiguration().Configuration(), id)
 }
 
 // beats sets how often this voter's heartbeats go out while it leads. raft sends them each one to two tenths of the time without
 // any after which its own node would ask for an election: a leader, which waits for none, gets a longer one than a follower.
-func (run *running) beats(t Timings, leads bool) error {
+func (run *raftRun) setHeartbeat(t Timings, isLeader bool) error {
 	c := run.raft.ReloadableConfig()
 	c.HeartbeatTimeout, c.ElectionTimeout = t.Heartbeat, t.Election
-	if leads {
-		c.HeartbeatTimeout = max(10*t.Beat, t.Lease)
+	if isLeader {
+		c.HeartbeatTimeout = max(10*t.HeartbeatInterval, t.LeaderLease)
 		c.ElectionTimeout = max(c.HeartbeatTimeout, t.Election)
 	}
 	return run.raft.ReloadConfig(c)
@@ -102,22 +102,22 @@
 
 // watchDisk has a leader go silent while a write to its disk hangs: raft's heartbeats do not wait for the disk, so the others
 // would follow a leader that can agree on nothing.
-func (v *Voter) watchDisk(run *running) {
-	tick := time.NewTicker(v.c.Timings.Stall / 8)
-	defer tick.Stop()
+func (v *Voter) watchDisk(run *raftRun) {
+	ticker := time.NewTicker(v.c.Timings.DiskStall / 8)
+	defer ticker.Stop()
 	silent := false
 	for {
 		select {
-		case <-tick.C:
-		case <-run.ended:
+		case <-ticker.C:
+		case <-run.done:
 			return
 		}
-		hangs := v.disk.Store.Writing()
-		if !silent && hangs > v.c.Timings.Stall && run.raft.State() == raft.Leader {
+		writing := v.disk.Store.CurrentWriteTime()
+		if !silent && writing > v.c.Timings.DiskStall && run.raft.State() == raft.Leader {
 			silent = true
-			v.log.Warn("cluster_disk_slow", "voter", v.c.Name, "folder", v.c.Folder, "write_ms", hangs.Milliseconds())
+			v.log.Warn("cluster_disk_slow", "voter", v.c.Name, "folder", v.c.Folder, "write_ms", writing.Milliseconds())
 			run.layer.Silence(true)
-		} else if silent && hangs < v.c.Timings.Stall {
+		} else if silent && writing < v.c.Timings.DiskStall {
 			silent = false
 			run.layer.Silence(false)
 		}
@@ -152,33 +152,33 @@
 }
 
 // stop ends raft if it runs, and waits for it. It is called under starts.
-func (v *Voter) stop() {
-	run := v.running()
+func (v *Voter) stopRaft() {
+	run := v.currentRun()
 	if run == nil {
 		return
 	}
-	run.raft.DeregisterObserver(run.seen)
+	run.raft.DeregisterObserver(run.observer)
 	ended := run.raft.Shutdown()
-	run.trans.CloseStreams()
-	run.trans.Close() // and the layer: this also ends the calls that raft waits for
+	run.transport.CloseStreams()
+	run.transport.Close() // and the layer: this also ends the calls that raft waits for
 	_ = ended.Error()
-	close(run.ended)
+	close(run.done)
 	v.mu.Lock()
-	v.run, v.ready = nil, 0
-	v.note()
+	v.run, v.readyTerm = nil, 0
+	v.notifyChanged()
 	v.mu.Unlock()
 }
 
 // stateless tells whether the disk has never held a term, a vote or an entry, with raft stopped if need be: it must not begin
 // to hold one meanwhile. It is called under starts.
-func (v *Voter) stateless() (bool, error) {
+func (v *Voter) stopIfStateless() (bool, error) {
 	var state bool
-	look := func() (err error) { state, err = v.disk.HasState(); return err }
-	if err := guarded(look); err != nil || state {
+	check := func() (err error) { state, err = v.disk.HasState(); return err }
+	if err := guarded(check); err != nil || state {
 		return false, err
 	}
-	v.stop()
-	if err := guarded(look); err != nil {
+	v.stopRaft()
+	if err := guarded(check); err != nil {
 		return false, err
 	}
 	return !state, nil
@@ -186,33 +186,33 @@
 
 // belong keeps the cluster's id and starts raft. It answers false where the disk holds state already, of the cluster that it
 // was of before. It is called under starts.
-func (v *Voter) belong(cluster string, form *raft.Configuration) (bool, error) {
-	if err := v.failed(); err != nil {
+func (v *Voter) joinCluster(cluster string, initial *raft.Configuration) (bool, error) {
+	if err := v.failure(); err != nil {
 		return false, err
 	}
-	fresh, err := v.stateless()
+	stateless, err := v.stopIfStateless()
 	if err != nil {
 		return false, err
 	}
-	if fresh {
+	if stateless {
 		if err = v.disk.SetCluster(cluster); err != nil {
 			v.fail(fmt.Errorf("%w: %w", disk.ErrDamaged, err))
 			return false, err
 		}
 	}
-	if !fresh {
-		form = nil
+	if !stateless {
+		initial = nil
 	}
-	if v.running() == nil {
-		err = v.start(form)
+	if v.currentRun() == nil {
+		err = v.startRaft(initial)
 	}
 	if err != nil {
 		v.fail(err)
 	}
-	return fresh, err
+	return stateless, err
 }
 
 // refused logs a connection that was refused, once in a while.
-func (v *Voter) refused(by, of, why string) {
-	v.lines.warn("cluster_link_refused", "by", by, "of", of, "why", why)
+func (v *Voter) logRefusedLink(by, of, reason string) {
+	v.throttled.warn("cluster_link_refused", "by", by, "of", of, "why", reason)
 }
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -19,33 +19,33 @@
 
 // Voter is one voter's part in the cluster. It implements api.Member.
 type Voter struct {
-	c      Config
-	log    *slog.Logger
-	lines  *sparse
-	disk   *disk.Disk
-	fsm    *fsm
-	peers  *peers
-	clocks *clocks
-	leases *leases
+	c         Config
+	log       *slog.Logger
+	throttled *throttledLog
+	disk      *disk.Disk
+	fsm       *fsm
+	peers     *peers
+	clock     *clockHistory
+	leases    *leases
 
-	ctx    context.Context // ends with Close
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-	member *membership // that the disk knew of when this voter was opened; nil for none
+	ctx        context.Context // ends with Close
+	cancel     context.CancelFunc
+	tasks      sync.WaitGroup
+	membership *membership // that the disk knew of when this voter was opened; nil for none
 
-	starts sync.Mutex // held while raft is started or stopped, or the cluster's id is set
-	admits sync.Mutex // held by the leader for one step of taking a voter in
+	startMu sync.Mutex // held while raft is started or stopped, or the cluster's id is set
+	admitMu sync.Mutex // held by the leader for one step of taking a voter in
 
-	mu      sync.Mutex
-	run     *running // nil while raft does not run
-	ready   uint64   // the term in which this voter, leading, has applied all that was committed before; 0 for none
-	fault   string
-	joining bool // forming or asking to be taken in
-	closing bool
-	open    int           // futures of raft that are not answered yet
-	changed chan struct{} // closed at the next change of what stands above, or of the leader
-	noted   string        // the leader that was last logged
-	tried   map[string]attempt
+	mu           sync.Mutex
+	run          *raftRun // nil while raft does not run
+	readyTerm    uint64   // the term in which this voter, leading, has applied all that was committed before; 0 for none
+	fault        string
+	joining      bool // forming or asking to be taken in
+	closing      bool
+	pending      int           // futures of raft that are not answered yet
+	changed      chan struct{} // closed at the next change of what stands above, or of the leader
+	loggedLeader string        // the leader that was last logged
+	joinAttempts map[string]joinAttempt
 }
 
 var _ api.Member = (*Voter)(nil)
@@ -53,21 +53,21 @@
 // Open starts a voter on its folder, and returns without waiting for the others. An error is one of the configuration or of
 // the folder's belonging. A damaged disk is none: the voter is there, its state is failed, and it takes no part.
 func Open(ctx context.Context, c Config) (*Voter, error) {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	v := &Voter{c: c, log: c.Log, lines: newSparse(c.Log), clocks: &clocks{}, leases: newLeases(), changed: make(chan struct{}), tried: map[string]attempt{}}
+	v := &Voter{c: c, log: c.Log, throttled: newThrottledLog(c.Log), clock: &clockHistory{}, leases: newLeases(), changed: make(chan struct{}), joinAttempts: map[string]joinAttempt{}}
 	v.ctx, v.cancel = context.WithCancel(context.Background())
 	v.peers = newPeers(&v.c)
 	var err error
-	v.disk, err = disk.Open(c.Folder, c.Cluster, c.Name, newRaftLog(v.lines))
+	v.disk, err = disk.Open(c.Folder, c.Cluster, c.Name, newRaftLog(v.throttled))
 	if err != nil && !errors.Is(err, disk.ErrDamaged) {
 		return nil, err
 	}
-	v.fsm = &fsm{own: v.identity(), clocks: v.clocks, fail: v.fail, caught: func() { v.disk.Store.Release() },
+	v.fsm = &fsm{ownIdentity: v.identity(), clock: v.clock, fail: v.fail, onCaughtUp: func() { v.disk.Store.ReleasePreloaded() },
 		replica: replica.New(record.New(c.Bounds, c.Domains...), c.Entries, 0)}
 	if err == nil {
-		err = v.begin(ctx)
+		err = v.resume(ctx)
 	}
 	if errors.Is(err, disk.ErrDamaged) {
 		v.fail(err)
@@ -79,45 +79,45 @@
 }
 
 // begin looks at what the disk holds, and starts what follows from it.
-func (v *Voter) begin(ctx context.Context) error {
-	held, err := v.disk.Check()
+func (v *Voter) resume(ctx context.Context) error {
+	stored, err := v.disk.Check()
 	if err != nil {
 		return err
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	state, err := v.disk.HasState()
+	hasState, err := v.disk.HasState()
 	if err != nil {
 		return err
 	}
-	v.fsm.hold(held)
+	v.fsm.setStored(stored)
 	id := v.disk.Identity()
-	if state && id.Cluster == "" {
+	if hasState && id.Cluster == "" {
 		return errors.New(v.c.Folder + ": a log without a cluster's id: empty the folder, so that this voter joins anew")
 	}
-	if state && !id.Voted {
-		if v.member, err = v.readMembership(); err != nil {
+	if hasState && !id.Voted {
+		if v.membership, err = v.readMembership(); err != nil {
 			return err
 		}
 	}
-	v.starts.Lock()
-	defer v.starts.Unlock()
-	if id.Cluster != "" && (state || !v.c.first()) {
-		if err := v.start(nil); err != nil {
+	v.startMu.Lock()
+	defer v.startMu.Unlock()
+	if id.Cluster != "" && (hasState || !v.c.isFirst()) {
+		if err := v.startRaft(nil); err != nil {
 			return err
 		}
 	}
 	if !id.Voted {
 		v.joining = true
-		v.task(v.attend)
+		v.spawn(v.ensureVote)
 	}
-	v.task(v.watchPlace)
+	v.spawn(v.watchIdentity)
 	return nil
 }
 
 // task runs something for as long as the voter is open.
-func (v *Voter) task(f func(ctx context.Context)) {
+func (v *Voter) spawn(f func(ctx context.Context)) {
 	v.tasks.Add(1)
 	go func() {
 		defer v.tasks.Done()
@@ -141,7 +141,7 @@
 }
 
 func (v *Voter) serveRaft(w http.ResponseWriter, r *http.Request) {
-	if run := v.running(); run != nil {
+	if run := v.currentRun(); run != nil {
 		run.layer.ServeHTTP(w, r)
 		return
 	}
@@ -149,12 +149,12 @@
 }
 
 // note wakes whoever waits for a change. It is called under mu.
-func (v *Voter) note() {
+func (v *Voter) notifyChanged() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-func (v *Voter) running() *running {
+func (v *Voter) currentRun() *raftRun {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.run
@@ -162,7 +162,7 @@
 
 // Replica is nil while there is no state to show. Of a voter that has failed it stays what it was, and ages.
 func (v *Voter) Replica() *replica.Replica {
-	if !v.fsm.shows() {
+	if !v.fsm.isVisible() {
 		return nil
 	}
 	return v.fsm.replica
@@ -179,7 +179,7 @@
 	switch {
 	case s.Fault != "":
 		s.State = "failed"
-	case joining && run == nil && v.c.first():
+	case joining && run == nil && v.c.isFirst():
 		s.State = "forming"
 	case joining || run == nil:
 		s.State = "joining"
@@ -187,8 +187,8 @@
 		s.State = stateName(run.raft.State())
 	}
 	if run != nil {
-		at, _ := run.raft.LeaderWithID()
-		s.Leader, _ = link.Split(at)
+		leaderAddr, _ := run.raft.LeaderWithID()
+		s.Leader, _ = link.Split(leaderAddr)
 		for _, server := range run.raft.GetConfiguration().Configuration().Servers {
 			name, identity := link.Split(server.Address)
 			s.Voters = append(s.Voters, api.Voter{Name: name, Identity: identity, Votes: server.Suffrage == raft.Voter})
@@ -211,7 +211,7 @@
 	return "follower"
 }
 
-const endWithin = 2 * time.Second // for what is under way
+const closeTimeout = 2 * time.Second // for what is under way
 
 // Close hands a leadership on, ends what is under way and gives the folder free. Writes that are not answered by then are
 // ErrUnknown.
@@ -223,7 +223,7 @@
 	}
 	v.closing = true
 	run := v.run
-	v.note()
+	v.notifyChanged()
 	v.mu.Unlock()
 	if run != nil && run.raft.State() == raft.Leader {
 		ctx, cancel := context.WithTimeout(context.Background(), v.c.Timings.Election)
@@ -231,10 +231,10 @@
 		cancel()
 	}
 	v.cancel()
-	v.drain(endWithin)
-	v.starts.Lock()
-	v.stop()
-	v.starts.Unlock()
+	v.drain(closeTimeout)
+	v.startMu.Lock()
+	v.stopRaft()
+	v.startMu.Unlock()
 	v.tasks.Wait()
 	v.peers.close()
 	return v.disk.Close()
@@ -242,10 +242,10 @@
 
 // fail ends this voter's part in consensus: what its disk says can no longer be trusted, or it takes no more. It may be called
 // from raft's own goroutines, and does not wait for them.
-func (v *Voter) fail(err error) { v.end("cluster_disk", err) }
+func (v *Voter) fail(err error) { v.failWith("cluster_disk", err) }
 
 // end is fail, logged as another event.
-func (v *Voter) end(event string, err error) {
+func (v *Voter) failWith(event string, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.fault != "" {
@@ -253,19 +253,19 @@
 	}
 	v.log.Error(event, "voter", v.c.Name, "folder", v.c.Folder, "fault", err)
 	v.fault = err.Error()
-	v.note()
+	v.notifyChanged()
 	if !v.closing { // Close does the same
-		v.task(func(context.Context) {
-			v.drain(endWithin / 4)
-			v.starts.Lock()
-			defer v.starts.Unlock()
-			v.stop()
+		v.spawn(func(context.Context) {
+			v.drain(closeTimeout / 4)
+			v.startMu.Lock()
+			defer v.startMu.Unlock()
+			v.stopRaft()
 		})
 	}
 }
 
 // failed gives the fault as an error.
-func (v *Voter) failed() error {
+func (v *Voter) failure() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.fault != "" {
@@ -281,15 +281,15 @@
 // helped: raft forgets some futures then.
 func (v *Voter) await(ctx context.Context, f raft.Future) error {
 	v.mu.Lock()
-	v.open++
+	v.pending++
 	v.mu.Unlock()
 	answered := make(chan error, 1)
 	go func() {
 		answered <- f.Error()
 		v.mu.Lock()
-		v.open--
-		if v.open == 0 {
-			v.note()
+		v.pending--
+		if v.pending == 0 {
+			v.notifyChanged()
 		}
 		v.mu.Unlock()
 	}()
@@ -302,18 +302,18 @@
 }
 
 // drain waits until no future is open, but not for ever.
-func (v *Voter) drain(most time.Duration) {
-	end := time.After(most)
+func (v *Voter) drain(limit time.Duration) {
+	timeout := time.After(limit)
 	for {
 		v.mu.Lock()
-		open, changed := v.open, v.changed
+		pending, changed := v.pending, v.changed
 		v.mu.Unlock()
-		if open == 0 {
+		if pending == 0 {
 			return
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			return
 		}
 	}
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -11,7 +11,7 @@
 	"burlpass/internal/record"
 )
 
-func TestFormsAndAgrees(t *testing.T) {
+func TestClusterForms(t *testing.T) {
 	c := newCluster(t, 3)
 	c.nodes[1].open() // alone it forms nothing, and shows nothing
 	if s := c.nodes[1].v.Status(); s.State != "joining" || s.AgeMs != -1 || s.Cluster != "" {
@@ -31,13 +31,13 @@
 	}
 	id := c.nodes[0].v.Status().Cluster
 	for _, d := range c.nodes {
-		d.has("w0", "w1", "w2")
+		d.waitShows("w0", "w1", "w2")
 		c.eventually("a clock entry tells the age", func() bool { return d.v.Status().AgeMs >= 0 })
 		s := d.v.Status()
 		if s.Cluster != id || id == "" || len(s.Voters) != 3 || !s.Voters[2].Votes || s.Version < uint64(last) {
 			t.Fatalf("%+v", s)
 		}
-		if formed := d.lines.count("cluster_formed"); (formed == 1) != (d == c.nodes[0]) {
+		if formed := d.logs.count("cluster_formed"); (formed == 1) != (d == c.nodes[0]) {
 			t.Fatalf("%s: %d times formed", d.peer.Name, formed)
 		}
 	}
@@ -49,17 +49,17 @@
 }
 
 // TestAlone has one voter, whose disk is all that there is.
-func TestAlone(t *testing.T) {
+func TestSingleVoter(t *testing.T) {
 	c := newCluster(t, 1)
 	c.open()
 	c.nodes[0].write("a", "w", 0)
 	c.nodes[0].close()
 	c.open()
-	c.nodes[0].has("w")
+	c.nodes[0].waitShows("w")
 }
 
 // TestRestartGoesNotBack closes all and opens one alone: it shows nothing, since it cannot know what was committed.
-func TestRestartGoesNotBack(t *testing.T) {
+func TestRestartShowsNoOlderState(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	for i := range 20 {
@@ -72,7 +72,7 @@
 	c.nodes[0].open()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	if _, err := c.nodes[0].v.Write(ctx, order("alone", "w", 0)); !errors.Is(err, api.ErrRefused) {
+	if _, err := c.nodes[0].v.Write(ctx, disableOrder("alone", "w", 0)); !errors.Is(err, api.ErrRefused) {
 		t.Fatalf("without the others: %v", err)
 	}
 	if _, _, err := c.nodes[0].v.Read(ctx, true); !errors.Is(err, api.ErrRefused) {
@@ -87,7 +87,7 @@
 	if view.Version() < before.Version() {
 		t.Fatalf("version %d after %d", view.Version(), before.Version())
 	}
-	c.nodes[0].has("w0", "w19")
+	c.nodes[0].waitShows("w0", "w19")
 	r := c.nodes[1].write("order-7", "w7", 0)
 	if !r.Again {
 		t.Fatalf("a write that was applied before is applied again: %+v", r)
@@ -95,7 +95,7 @@
 }
 
 // TestLeaderEnds kills the leader, and asks again for what it had acknowledged.
-func TestLeaderEnds(t *testing.T) {
+func TestLeaderKilled(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	first := c.leader().write("a", "w1", 0)
@@ -108,14 +108,14 @@
 	}
 	others[1].write("b", "w2", 0)
 	old.open()
-	old.has("w1", "w2")
-	if old.read().Hash() == "" || old.lines.count("cluster_leader") == 0 {
+	old.waitShows("w1", "w2")
+	if old.read().Hash() == "" || old.logs.count("cluster_leader") == 0 {
 		t.Fatal("no hash, or no word of the leader")
 	}
 }
 
 // TestMinority cuts a leader and another voter off from three others.
-func TestMinority(t *testing.T) {
+func TestMinorityPartition(t *testing.T) {
 	c := newCluster(t, 5)
 	c.open()
 	old := c.leader()
@@ -124,13 +124,13 @@
 	c.eventually("a clock entry tells the age", func() bool { return second.v.Status().AgeMs >= 0 })
 	for _, d := range majority {
 		for _, cut := range []*node{old, second} {
-			c.part(d, cut, true)
-			c.part(cut, d, true)
+			c.block(d, cut, true)
+			c.block(cut, d, true)
 		}
 	}
 	for _, d := range []*node{old, second} {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if _, err := d.v.Write(ctx, order("lost-"+d.peer.Name, "lost", 0)); !errors.Is(err, api.ErrRefused) && !errors.Is(err, api.ErrUnknown) {
+		if _, err := d.v.Write(ctx, disableOrder("lost-"+d.peer.Name, "lost", 0)); !errors.Is(err, api.ErrRefused) && !errors.Is(err, api.ErrUnknown) {
 			t.Errorf("a minority writes: %v", err)
 		}
 		if _, _, err := d.v.Read(ctx, true); !errors.Is(err, api.ErrRefused) {
@@ -144,11 +144,11 @@
 	c.eventually("what is cut off gets old", func() bool { return second.v.Status().AgeMs > age+100 })
 	for _, d := range majority {
 		for _, cut := range []*node{old, second} {
-			c.part(d, cut, false)
-			c.part(cut, d, false)
+			c.block(d, cut, false)
+			c.block(cut, d, false)
 		}
 	}
-	old.has("kept")
+	old.waitShows("kept")
 	hash := map[string]bool{}
 	c.eventually("all hold the same", func() bool {
 		clear(hash)
@@ -161,32 +161,32 @@
 }
 
 // TestCallerGivesUp has a write whose caller waits no longer, while a majority is away.
-func TestCallerGivesUp(t *testing.T) {
+func TestCallerTimeout(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{Heartbeat: time.Second, Lease: time.Second}
+	c.timings = Timings{Heartbeat: time.Second, LeaderLease: time.Second}
 	c.open()
 	leader := c.leader()
-	back := make(chan struct{})
+	resume := make(chan struct{})
 	for _, d := range c.others(leader) {
-		d.v.disk.Store.Interpose(func(op string) error { <-back; return nil })
+		d.v.disk.Store.Interpose(func(op string) error { <-resume; return nil })
 	}
 	c.eventually("nobody can tell what became of it", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		_, err := leader.v.Write(ctx, order("a", "w", 0))
+		_, err := leader.v.Write(ctx, disableOrder("a", "w", 0))
 		if err == nil {
 			t.Fatal("a write is acknowledged without a majority's disks")
 		}
 		return errors.Is(err, api.ErrUnknown) // refused: the time was over before raft had it
 	})
-	close(back)
+	close(resume)
 	if r := leader.write("a", "w", 0); r.Version == 0 {
 		t.Fatalf("%+v", r)
 	}
 }
 
 // TestAgeAfterAStart: whatever the machine's clock says, a start knows the age of its state only by a new clock entry.
-func TestAgeAfterAStart(t *testing.T) {
+func TestAgeAfterRestart(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	c.nodes[0].write("before", "w0", 0)
@@ -196,7 +196,7 @@
 	c.nodes[0].close()
 	c.nodes[2].close()
 	c.open()
-	c.nodes[1].has("w0")
+	c.nodes[1].waitShows("w0")
 	if s := c.nodes[1].v.Status(); s.AgeMs != -1 {
 		t.Errorf("an age of %d ms, without a clock entry", s.AgeMs)
 	}
--- a/internal/cluster/voter/write.go
+++ b/internal/cluster/voter/write.go
@@ -14,7 +14,7 @@
 )
 
 // pause is between two tries of what has surely not been taken.
-const pause = 20 * time.Millisecond
+const retryInterval = 20 * time.Millisecond
 
 // Write has the leader propose a write. What surely was not taken is tried again while there is patience: a new leader may
 // be about to be elected.
@@ -23,13 +23,13 @@
 	if err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrRefused, err)
 	}
-	patience, cancel := context.WithTimeout(ctx, v.c.Timings.Patience)
+	waitCtx, cancel := context.WithTimeout(ctx, v.c.Timings.LeaderWait)
 	defer cancel()
 	for {
 		v.mu.Lock()
 		changed := v.changed
 		v.mu.Unlock()
-		if err := v.failed(); err != nil {
+		if err := v.failure(); err != nil {
 			return record.Result{}, fmt.Errorf("%w: %w", api.ErrRefused, err)
 		}
 		run, leader := v.leader()
@@ -40,7 +40,7 @@
 		case leader == v.c.Name:
 			result, err = v.propose(ctx, run, raw)
 		default:
-			result, err = v.handWrite(ctx, leader, proposal{run.cluster, w})
+			result, err = v.forwardWrite(ctx, leader, proposal{run.cluster, w})
 		}
 		if err == nil || !errors.Is(err, api.ErrRefused) {
 			return result, err
@@ -51,22 +51,22 @@
 		}
 		select {
 		case <-wait:
-		case <-time.After(pause):
-		case <-patience.Done():
+		case <-time.After(retryInterval):
+		case <-waitCtx.Done():
 			return result, err
 		}
 	}
 }
 
 // propose has this leader's raft agree on an entry. The error is ErrRefused only where raft cannot have appended it.
-func (v *Voter) propose(ctx context.Context, run *running, raw []byte) (record.Result, error) {
-	if err := v.failed(); err != nil {
+func (v *Voter) propose(ctx context.Context, run *raftRun, raw []byte) (record.Result, error) {
+	if err := v.failure(); err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrRefused, err)
 	}
 	if err := ctx.Err(); err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrRefused, err)
 	}
-	within := v.c.Timings.Call
+	within := v.c.Timings.CallTimeout
 	if end, ok := ctx.Deadline(); ok {
 		within = max(time.Millisecond, min(within, time.Until(end)))
 	}
@@ -79,9 +79,9 @@
 	default: // lost leadership, a shutdown, a store that failed, the end of ctx: it may have been appended
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrUnknown, err)
 	}
-	a, ok := f.Response().(applied)
+	a, ok := f.Response().(applyResult)
 	if !ok || a.err != nil {
-		return record.Result{}, fmt.Errorf("%w: %w", api.ErrUnknown, errors.Join(a.err, v.failed()))
+		return record.Result{}, fmt.Errorf("%w: %w", api.ErrUnknown, errors.Join(a.err, v.failure()))
 	}
 	return a.result, nil
 }
@@ -92,46 +92,46 @@
 	Write   *record.Write `json:"write"`
 }
 
-func (v *Voter) handWrite(ctx context.Context, leader string, p proposal) (result record.Result, err error) {
-	err = v.peers.handOn(ctx, leader, http.MethodPost, "/v1/propose", p, &result, true)
-	var said *refusal
+func (v *Voter) forwardWrite(ctx context.Context, leader string, p proposal) (result record.Result, err error) {
+	err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/propose", p, &result, true)
+	var refused *refusal
 	switch {
 	case err == nil && result.ID == p.Write.ID && result.Outcome != "":
 		return result, nil
 	case err == nil:
 		err = errors.New("an answer that is no result")
-	case errors.Is(err, errUnsent), errors.As(err, &said) && said.Refused != "" && said.Unknown == "":
+	case errors.Is(err, errNotSent), errors.As(err, &refused) && refused.Refused != "" && refused.Unknown == "":
 		return record.Result{}, fmt.Errorf("%w: %s: %w", api.ErrRefused, leader, err)
 	}
 	return record.Result{}, fmt.Errorf("%w: %s: %w", api.ErrUnknown, leader, err)
 }
 
-const proposeWithin = 30 * time.Second // the caller's own time ends the call before
+const proposeTimeout = 30 * time.Second // the caller's own time ends the call before
 
 func (v *Voter) servePropose(w http.ResponseWriter, r *http.Request) {
 	var p proposal
-	if !decode(w, r, &p) {
+	if !decodeBody(w, r, &p) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), proposeWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), proposeTimeout)
 	defer cancel()
 	run, leader := v.leader()
 	if run == nil || leader != v.c.Name || p.Cluster != run.cluster {
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: errNotLeading.Error()})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: errNotLeader.Error()})
 		return
 	}
 	raw, err := record.Encode(&record.Entry{Write: p.Write})
 	if err != nil {
-		refuse(w, http.StatusBadRequest, refusal{Refused: err.Error()})
+		writeRefusal(w, http.StatusBadRequest, refusal{Refused: err.Error()})
 		return
 	}
 	result, err := v.propose(ctx, run, raw)
 	switch {
 	case err == nil:
-		answer(w, http.StatusOK, result)
+		writeJSON(w, http.StatusOK, result)
 	case errors.Is(err, api.ErrRefused):
-		refuse(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: err.Error()})
 	default:
-		refuse(w, http.StatusGatewayTimeout, refusal{Unknown: err.Error()})
+		writeRefusal(w, http.StatusGatewayTimeout, refusal{Unknown: err.Error()})
 	}
 }
--- a/internal/clustertest/hard/mutants.go
+++ b/internal/clustertest/hard/mutants.go
@@ -15,7 +15,7 @@
 	}
 	return []Mutant{
 		one("OldDiskComesBack", "says-nothing", "a voter that was replaced does not ask why nobody leads",
-			"internal/cluster/voter/voter.go", "\tv.task(v.watchPlace)\n", ""),
+			"internal/cluster/voter/voter.go", "\tv.spawn(v.watchIdentity)\n", ""),
 		one("OldDiskComesBack", "any-identity", "a voter answers whoever means another identity of its name",
 			"internal/cluster/voter/link/link.go", "case h.Get(headerTo) != l.c.Identity:", "case false:"),
 		one("ObserverWakesLate", "no-age", "an observer tells the age 0, whatever it is",
--- a/internal/clustertest/mutants/voters.go
+++ b/internal/clustertest/mutants/voters.go
@@ -11,7 +11,7 @@
 	const write, lead, identity = "cluster/voter/write.go", "cluster/voter/lead.go", "cluster/voter/disk/disk.go"
 	outside := []sim.Edit{ // the identity lies beside the folder, so that a wipe leaves it
 		edit(identity, "path := filepath.Join(d.folder, identityFile)", "path := filepath.Join(filepath.Dir(d.folder), identityFile)"),
-		edit(identity, "writeFile(filepath.Join(d.folder, identityFile), i.format())", "writeFile(filepath.Join(filepath.Dir(d.folder), identityFile), i.format())"),
+		edit(identity, "writeFile(filepath.Join(d.folder, identityFile), i.encode())", "writeFile(filepath.Join(filepath.Dir(d.folder), identityFile), i.encode())"),
 		edit(identity, "errors.Is(err, fs.ErrNotExist) && id.Cluster != \"\" {", "errors.Is(err, fs.ErrNotExist) && id.Cluster == \"never\" {"),
 	}
 	masked := append([]sim.Edit{
@@ -27,29 +27,29 @@
 	f := run.raft.Apply(raw, within)
 `),
 			edit(write, "// proposal is the body of", foresee+"\n// proposal is the body of"),
-			edit(lead, "	at := v.fsm.replica.Version()\n", "	at := v.foreseen()\n")),
+			edit(lead, "	version := v.fsm.replica.Version()\n", "	version := v.foreseen()\n")),
 		mutant("acked-before-fsync", "entries are acknowledged up to 250 ms before they are written; SIGKILL loses them as a loss of power would",
 			[]h.Promise{h.Kept, h.Linear, h.OneResult, h.OwnVersion, h.NeverBack}, unsynced()...),
 		mutant("wiped-voter-votes", "a voter whose folder was emptied votes on under its old identity", []h.Promise{h.NewIdentity}, outside...),
 		{Mutant: sim.Mutant{Name: "wiped-voter-votes-masked", About: "the same, but it tells another identity at each start", Edits: masked},
 			Finds: []h.Promise{h.Kept, h.Linear, h.OwnVersion, h.OneResult, h.SameHash}, Plan: forgottenVote},
 		{Mutant: sim.Mutant{Name: "leader-clock-believed", About: "the record's time is the leader's clock", Edits: []sim.Edit{
-			edit("cluster/voter/clock.go", "record.Clock{Voters: len(voters), Readings: had}",
-				"record.Clock{Voters: 1, Readings: []record.Reading{{Voter: v.identity(), Ms: v.clocks.read(v.c.Now)}}}")}},
+			edit("cluster/voter/clock.go", "record.Clock{Voters: len(voters), Readings: received}",
+				"record.Clock{Voters: 1, Readings: []record.Reading{{Voter: v.identity(), Ms: v.clock.read(v.c.Now)}}}")}},
 			Finds: []h.Promise{h.HonestTime}, Plan: hourAhead},
 		mutant("read-unproven", "a leader answers consistent reads without a proof that it still leads", []h.Promise{h.Linear},
-			edit(lead, "	if err := v.leads(ctx, run); err != nil {\n		return index{}, err\n	}\n	return index{at", "	return index{at")),
+			edit(lead, "	if err := v.verifyLeader(ctx, run); err != nil {\n		return readIndexReply{}, err\n	}\n	return readIndexReply{version", "	return readIndexReply{version")),
 		mutant("read-local", "a voter answers consistent reads from its own state", []h.Promise{h.Linear},
 			edit("cluster/voter/read.go", "	if !consistent {\n", "	if !consistent || v.Replica() != nil {\n")),
 		mutant("unknown-as-refused", "a write of which nobody knows what became is told as refused", []h.Promise{h.Kept, h.Linear},
 			edit(write, "		if err == nil || !errors.Is(err, api.ErrRefused) {\n			return result, err\n",
 				"		if err != nil && !errors.Is(err, api.ErrRefused) {\n			return result, fmt.Errorf(\"%w: %v\", api.ErrRefused, err)\n		}\n		if err == nil {\n			return result, err\n")),
 		mutant("shown-before-caught-up", "a voter shows at once what its start has brought back", []h.Promise{h.NeverBack},
-			edit("cluster/voter/fsm.go", "f.shown = f.newer || f.replica.Version() >= f.base+record.Version(f.held.Commands)", "f.shown = true")),
+			edit("cluster/voter/fsm.go", "f.visible = f.newerTerm || f.replica.Version() >= f.snapshotVersion+record.Version(f.stored.Commands)", "f.visible = true")),
 		mutant("full-disk-ends-it", "a disk that takes nothing ends the process", []h.Promise{h.StaysUp},
 			edit("cluster/voter/start.go", "		runtime.Goexit() // raft would panic\n", "		_ = runtime.NumCPU()\n		panic(err)\n")),
 		mutant("wiped-stays-out", "a voter whose folder was emptied does not ask to be taken in", []h.Promise{h.Converges},
-			edit("cluster/voter/form.go", "			from = v.askJoin(ctx, from)\n", "			_ = from\n")),
+			edit("cluster/voter/form.go", "			lastAnswered = v.requestJoin(ctx, lastAnswered)\n", "			_ = lastAnswered\n")),
 	}
 	by := map[string]func(uint64) *faults.Plan{"acked-before-fsync": powerLoss, "read-unproven": stoppedLeaders, "unknown-as-refused": deafLeaders,
 		"full-disk-ends-it": fullDisk, "wiped-stays-out": wiped}
@@ -68,14 +68,14 @@
 	machine *record.Machine
 }
 
-func (v *Voter) reigns(run *running) bool {
+func (v *Voter) reigns(run *raftRun) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.ready != 0 && v.ready == run.raft.CurrentTerm()
+	return v.readyTerm != 0 && v.readyTerm == run.raft.CurrentTerm()
 }
 
 // look brings the copy up to this term. It is called under the lock.
-func (v *Voter) lookAhead(run *running) {
+func (v *Voter) lookAhead(run *raftRun) {
 	if term := run.raft.CurrentTerm(); foreseen.term != term {
 		var state bytes.Buffer
 		_ = record.Save(&state, v.fsm.replica.View())
@@ -84,7 +84,7 @@
 	}
 }
 
-func (v *Voter) foresee(run *running, raw []byte, within time.Duration) (record.Result, error) {
+func (v *Voter) foresee(run *raftRun, raw []byte, within time.Duration) (record.Result, error) {
 	foreseen.Lock()
 	defer foreseen.Unlock()
 	if !v.reigns(run) {
@@ -102,7 +102,7 @@
 func (v *Voter) foreseen() record.Version {
 	foreseen.Lock()
 	defer foreseen.Unlock()
-	run := v.running()
+	run := v.currentRun()
 	if run == nil || !v.reigns(run) {
 		return v.fsm.replica.View().Version()
 	}
--- a/internal/clustertest/run/build.go
+++ b/internal/clustertest/run/build.go
@@ -15,9 +15,9 @@
 // entries. Nothing but figures differs.
 func Small() sim.Mutant {
 	return sim.Mutant{Name: "small", About: "small bounds", Edits: []sim.Edit{
-		{File: "internal/cluster/voter/config.go", Old: "DefaultSnapshot  = 30 * time.Second", New: "DefaultSnapshot  = 700 * time.Millisecond"},
-		{File: "internal/cluster/voter/config.go", Old: "DefaultThreshold = 8192", New: "DefaultThreshold = 40"},
-		{File: "internal/cluster/voter/config.go", Old: "DefaultTrailing  = 8192", New: "DefaultTrailing  = 20"},
+		{File: "internal/cluster/voter/config.go", Old: "DefaultSnapshot          = 30 * time.Second", New: "DefaultSnapshot          = 700 * time.Millisecond"},
+		{File: "internal/cluster/voter/config.go", Old: "DefaultThreshold         = 8192", New: "DefaultThreshold         = 40"},
+		{File: "internal/cluster/voter/config.go", Old: "DefaultTrailing          = 8192", New: "DefaultTrailing          = 20"},
 		{File: "internal/cluster/replica/replica.go", Old: "DefaultEntries = 8192", New: "DefaultEntries = 30"},
 		{File: "internal/cluster/api/server.go", Old: "DefaultFollowers = 32", New: "DefaultFollowers = 3"},
 	}}
--- a/internal/clustertest/run/faulty.go
+++ b/internal/clustertest/run/faulty.go
@@ -21,7 +21,7 @@
 		}
 `},
 		{File: store, Old: "import (\n", New: "import (\n\t\"os\"\n\t\"path/filepath\"\n\t\"strconv\"\n"},
-		{File: store, Old: "	return s.do(op, f)\n}\n\n// Writing", New: `	return s.do(op, func() error {
+		{File: store, Old: "	return s.do(op, f)\n}\n\n// CurrentWriteTime", New: `	return s.do(op, func() error {
 		s.late()
 		defer s.late()
 		return f()
@@ -35,7 +35,7 @@
 	time.Sleep(time.Duration(ms) * time.Millisecond / 2)
 }
 
-// Writing`},
+// CurrentWriteTime`},
 		{File: disk, Old: "import (\n", New: "import (\n\t\"strconv\"\n"},
 		{File: disk, Old: "func (d *disk) update(f func(*bolt.Tx) error) error { return d.db.Update(f) }\n", New: `func (d *disk) update(f func(*bolt.Tx) error) error {
 	late := time.Duration(beside(d.folder, "sync")) * time.Millisecond / 2
