--- a/internal/cluster/voter/link/conn.go
+++ b/internal/cluster/voter/link/conn.go
@@ -10,7 +10,7 @@
 	"burlpass/internal/transport"
 )
 
-// incoming is another voter's connection. Raft reads and writes it without deadlines of its own.
+// incoming is a connection from another voter. It sets the deadlines, because raft sets none on accepted connections.
 type incoming struct {
 	net.Conn
 	l *Layer
@@ -35,12 +35,12 @@
 	return c.Conn.Close()
 }
 
-// rested is how long a connection was not used when it is looked at before it is used again.
+// idleCheckAfter is how long a connection must have been unused to be checked before its next use.
 const idleCheckAfter = time.Second
 
-// outgoing is a connection to another voter. Raft keeps some of them for the next election, maybe days; when that comes, the
-// other process may be another one, and an election in which a vote is asked over a dead connection is lost time. So a
-// connection that has rested is dialled anew where the other side has closed it.
+// outgoing is a connection to another voter. Raft pools some of them for the next election, which may be days away. By then
+// the other process may have been restarted, and a vote request over a dead connection delays the election. So an idle
+// connection that the other side has closed is dialled again before its next use.
 type outgoing struct {
 	l       *Layer
 	to      raft.ServerAddress
@@ -49,7 +49,7 @@
 	mu                          sync.Mutex
 	conn                        net.Conn
 	lastUsed                    time.Time
-	activeReads                 int // calls of Read
+	activeReads                 int // Read calls in progress
 	readDeadline, writeDeadline time.Time
 	closed                      bool
 }
@@ -75,6 +75,7 @@
 	return conn.Write(b)
 }
 
+// usableConn returns the connection, dialled again if it was idle and has been closed by the other side.
 func (c *outgoing) usableConn() (net.Conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/voter/link/link.go
+++ b/internal/cluster/voter/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries raft's traffic between voters over connections that begin as an HTTP request on the cluster's
-// address. Each names the cluster and the identity that it means to reach; who is another one refuses it. So a machine that
-// has lost its disk is never asked as the one that it was.
+// Package link carries raft's traffic between voters. Each connection begins as an HTTP upgrade request on the cluster's
+// address that names the target's cluster and identity, and a voter refuses a request meant for another one. So a voter that
+// has lost its disk never answers under its previous identity.
 package link
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Path is where a Layer's handler belongs.
+// Path is the URL path of a Layer's handler.
 const Path = "/v1/raft"
 
 const (
@@ -29,61 +29,62 @@
 	headerTo      = "Burlpass-To"
 	headerFrom    = "Burlpass-From"
 
-	maxIncoming     = 64 // connections; seven voters hold some thirty of one another
+	maxIncoming     = 64 // connections; each of seven voters gets about thirty from the others
 	maxRefusalBytes = 512
-	idleTimeout     = 2 * time.Minute // until a connection that says nothing is closed
+	idleTimeout     = 2 * time.Minute // of an incoming connection
 	writeTimeout    = 10 * time.Second
 )
 
-// Config of a Layer.
+// Config configures a Layer.
 type Config struct {
-	Cluster  string                   // its id
-	Name     string                   // this voter's
-	Identity string                   // this voter's
-	Address  func(name string) string // host:port of a configured voter, "" for another
+	Cluster  string                   // the cluster's id
+	Name     string                   // this voter's name
+	Identity string                   // this voter's identity
+	Address  func(name string) string // host:port of a configured voter, "" for an unknown name
 	Dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Refused is told of each connection that was refused: by whom, of whom, why.
+	// OnRefused is called for each refused connection, with the voter that refused it, the one that dialled, and the reason.
 	OnRefused func(by, of, reason string)
 }
 
-// Layer is raft's stream layer. It is made anew for every start of raft.
+// Layer implements raft.StreamLayer. Each start of raft needs a new one.
 type Layer struct {
 	c        Config
 	incoming chan net.Conn
 	done     chan struct{}
 
 	mu            sync.Mutex
-	conns         map[net.Conn]bool // true for those that came in
+	conns         map[net.Conn]bool // true for incoming connections
 	incomingCount int
 	silent        bool
 	closed        bool
 }
 
-// Address joins a voter's name and identity to what raft takes for its address.
+// Address joins a voter's name and identity to the server address used by raft.
 func Address(name, identity string) raft.ServerAddress {
 	return raft.ServerAddress(name + "/" + identity)
 }
 
-// Split is Address backwards.
+// Split splits a server address made by Address.
 func Split(a raft.ServerAddress) (name, identity string) {
 	name, identity, _ = strings.Cut(string(a), "/")
 	return name, identity
 }
 
-// New returns a Layer that takes connections until it is closed.
+// New returns a Layer that accepts connections until it is closed.
 func New(c Config) *Layer {
 	return &Layer{c: c, incoming: make(chan net.Conn), done: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
+// address is a raft server address as a net.Addr.
 type address string
 
 func (address) Network() string  { return "cluster" }
 func (a address) String() string { return string(a) }
 
-// Addr is this voter's address as raft knows it.
+// Addr returns this voter's raft server address.
 func (l *Layer) Addr() net.Addr { return address(Address(l.c.Name, l.c.Identity)) }
 
-// Accept waits for the next connection.
+// Accept waits for the next incoming connection.
 func (l *Layer) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.incoming:
@@ -93,7 +94,7 @@
 	}
 }
 
-// Close ends all connections, both ways.
+// Close closes all incoming and outgoing connections.
 func (l *Layer) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// Silence ends all connections and lets none come about, or allows them again.
+// Silence closes all connections and refuses new ones, or allows them again.
 func (l *Layer) Silence(on bool) {
 	l.mu.Lock()
 	l.silent = on
@@ -126,7 +127,7 @@
 	}
 }
 
-// add keeps a connection to be closed with the layer.
+// add registers a connection, to be closed with the layer. It fails if the layer allows no more connections.
 func (l *Layer) add(c net.Conn, incomingCount bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +135,7 @@
 		return net.ErrClosed
 	}
 	if l.silent {
-		return errors.New("silent")
+		return errors.New("connections are disabled at present")
 	}
 	if incomingCount && l.incomingCount >= maxIncoming {
 		return errors.New("too many connections")
@@ -157,7 +158,7 @@
 	}
 }
 
-// ServeHTTP takes a connection from another voter, or refuses it with 421 and why.
+// ServeHTTP accepts a connection from another voter, or refuses it with status 421 and the reason.
 func (l *Layer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from := r.Header.Get(headerFrom)
 	if reason := l.checkRequest(r); reason != "" {
@@ -197,20 +198,21 @@
 	}
 }
 
+// checkRequest returns why a request has to be refused, or "".
 func (l *Layer) checkRequest(r *http.Request) string {
 	h := r.Header
 	switch {
 	case !strings.EqualFold(h.Get("Upgrade"), protocol):
-		return "not the protocol that is spoken here: " + protocol
+		return "unsupported protocol, expected " + protocol
 	case h.Get(headerCluster) != l.c.Cluster:
-		return fmt.Sprintf("another cluster is meant: %.32q, and this is %q", h.Get(headerCluster), l.c.Cluster)
+		return fmt.Sprintf("request for another cluster: %.32q, and this is %q", h.Get(headerCluster), l.c.Cluster)
 	case h.Get(headerTo) != l.c.Identity:
-		return fmt.Sprintf("another identity is meant: %.32q, and this is %q", h.Get(headerTo), l.c.Identity)
+		return fmt.Sprintf("request for another identity: %.32q, and this is %q", h.Get(headerTo), l.c.Identity)
 	}
 	return ""
 }
 
-// Dial connects to the voter at raft's address.
+// Dial connects to the voter with a raft server address.
 func (l *Layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	raw, err := l.dial(to, timeout)
 	if err != nil {
@@ -228,11 +230,11 @@
 	name, identity := Split(to)
 	addr := l.c.Address(name)
 	if addr == "" {
-		return nil, fmt.Errorf("%q is no voter of the configuration", name)
+		return nil, fmt.Errorf("%q is not a configured voter", name)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	go func() { // a closing layer waits for no dial
+	go func() { // closing the layer cancels the dial
 		select {
 		case <-l.done:
 			cancel()
@@ -253,6 +255,7 @@
 	return c, nil
 }
 
+// handshake sends the upgrade request on a new connection and checks the response.
 func (l *Layer) handshake(c net.Conn, name, identity string) error {
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: Upgrade\r\nUpgrade: %s\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\n\r\n",
 		Path, name, protocol, headerCluster, l.c.Cluster, headerTo, identity, headerFrom, Address(l.c.Name, l.c.Identity))
@@ -271,7 +274,7 @@
 		return fmt.Errorf("%s %s", resp.Status, reason)
 	}
 	if r.Buffered() > 0 {
-		return errors.New("it spoke before it was asked")
+		return errors.New("unexpected data after the upgrade response")
 	}
 	return nil
 }
--- a/internal/cluster/voter/link/pipeline.go
+++ b/internal/cluster/voter/link/pipeline.go
@@ -6,9 +6,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// Transport is raft's network transport, whose pipelines cannot keep raft from ending. Raft's own have no room: once its decoder has
-// gone, at the first answer that says no, a sender that has two messages out waits for ever to hand over the third, with it whoever
-// waits for raft's shutdown, and a heartbeat of the old term goes on.
+// Transport is raft's network transport with pipelines that cannot block raft's shutdown. Raft's own pipelines have no buffer:
+// raft's decoder ends at the first negative response, and then a sender with two messages in flight waits forever to hand over
+// the third. That blocks raft's shutdown, and heartbeats of the old term go on.
 type Transport struct{ *raft.NetworkTransport }
 
 // AppendEntriesPipeline implements raft.Transport.
@@ -22,8 +22,8 @@
 	return p, nil
 }
 
-// pipeline takes what is answered from raft's own at once. How much it holds is bounded by the sender: that looks for the decoder's end
-// between two messages.
+// pipeline takes responses from raft's own pipeline at once and queues them. The sender bounds the queue, since it checks for
+// the decoder's end between two messages.
 type pipeline struct {
 	raft.AppendPipeline
 	out    chan raft.AppendFuture
@@ -40,6 +40,7 @@
 	return p.AppendPipeline.Close()
 }
 
+// forward moves responses from raft's pipeline through the queue to the consumer.
 func (p *pipeline) forward() {
 	var queue []raft.AppendFuture
 	for {
