--- a/internal/cluster/voter/disk/ahead.go
+++ b/internal/cluster/voter/disk/ahead.go
@@ -8,20 +8,19 @@
 	"github.com/hashicorp/raft"
 )
 
-// aheadBytes bounds the entries that are kept from the check at a start until raft has them: their data, and aheadHead each.
 const (
-	maxPreloadBytes = 64 << 20
-	entryOverhead   = 256
+	maxPreloadBytes = 64 << 20 // of entries kept in memory from the check at the start until raft has read them
+	entryOverhead   = 256      // bytes counted for each entry in addition to its data
 )
 
-// ahead are entries without a gap that were read and checked at the start. raft reads them twice more then: for the
+// preloaded holds consecutive entries that were read and checked at the start. raft reads them twice more: to find the
 // configurations among them, and to apply them.
 type preloaded struct {
 	first uint64
 	logs  []raft.Log
 }
 
-// get is false for an entry that is not there; also of no ahead at all.
+// get returns false if the entry is not preloaded. The receiver may be nil.
 func (a *preloaded) get(index uint64, l *raft.Log) bool {
 	if a == nil || index < a.first || index-a.first >= uint64(len(a.logs)) {
 		return false
@@ -30,22 +29,22 @@
 	return true
 }
 
-// Release lets go of the entries that are kept from the check. raft has them, or reads them from the file.
+// ReleasePreloaded frees the preloaded entries. From then on they are read from the file.
 func (s *Store) ReleasePreloaded() { s.preloaded.Store(nil) }
 
-// stretch is how many entries one goroutine reads at a time.
+// chunkEntries is the number of entries that one goroutine reads at a time.
 const chunkEntries = 512
 
-// piece is what was read of a stretch.
+// chunk is the result of checking up to chunkEntries entries.
 type chunk struct {
 	entries  []raft.Log
-	term     uint64 // of its last entry
+	term     uint64 // of the last entry
 	commands uint64
 	err      error
 }
 
-// readAll reads and checks the log from first to last on all cores, notes in held what comes after covered, and keeps as much of
-// that as aheadBytes allows. The error is that of the first entry that is not as it was written.
+// checkEntries reads and checks the log from first to last on all cores, adds the entries after snapshotIndex to contents, and
+// preloads as many of them as maxPreloadBytes allows. It returns the error of the first damaged entry.
 func (s *Store) checkEntries(first, last, snapshotIndex uint64, contents *Contents) error {
 	chunks := make([]chunk, (last-first)/chunkEntries+1)
 	var next, preloadBytes atomic.Int64
@@ -79,7 +78,8 @@
 	return nil
 }
 
-// readSome reads and checks entries, and counts those after covered. It keeps these unless bytes says that there are too many.
+// checkChunk reads and checks entries, and counts and keeps those after snapshotIndex. It keeps none of them if they do not
+// all fit into maxPreloadBytes, of which preloadBytes are in use.
 func (s *Store) checkChunk(from, to, snapshotIndex uint64, preloadBytes *atomic.Int64) (p chunk) {
 	for i := from; i <= to; i++ {
 		var l raft.Log
--- a/internal/cluster/voter/disk/check.go
+++ b/internal/cluster/voter/disk/check.go
@@ -13,22 +13,22 @@
 	"go.etcd.io/bbolt"
 )
 
-// Held is what a disk held when it was checked.
+// Contents describes what a disk held when it was checked.
 type Contents struct {
-	Last     uint64 // the index of the log's last entry or, where it is later, of the newest snapshot; 0 for none
-	Term     uint64 // of that
-	Commands uint64 // entries of the log after the newest snapshot that count for the record
+	Last     uint64 // index of the last log entry or of the newest snapshot, whichever is later; 0 for none
+	Term     uint64 // of that entry or snapshot
+	Commands uint64 // log entries after the newest snapshot that are commands
 }
 
-// Check reads the whole log, the votes and the newest snapshot, and fails for whatever is not as it was written or does not
-// follow on what is before it.
+// Check reads the whole log, the stored vote and the newest snapshot. It fails if any of them is damaged, or if there is a gap
+// between them.
 func (d *Disk) Check() (Contents, error) {
 	var contents Contents
 	snapshots, err := d.Snapshots.List()
 	if err != nil {
 		return contents, err
 	}
-	var snapshotIndex uint64 // by the newest snapshot
+	var snapshotIndex uint64 // last entry in the newest snapshot
 	if len(snapshots) > 0 {
 		_, r, err := d.Snapshots.Open(snapshots[0].ID)
 		if err != nil {
@@ -47,30 +47,31 @@
 		return contents, err
 	}
 	if first > snapshotIndex+1 {
-		return contents, fmt.Errorf("%w: %s: the log begins at %d, and the newest snapshot ends at %d", ErrDamaged, d.Store.path, first, snapshotIndex)
+		return contents, fmt.Errorf("%w: %s: the log begins at entry %d, but the newest snapshot ends at %d", ErrDamaged, d.Store.path, first, snapshotIndex)
 	}
 	if first > 0 {
 		if err := d.Store.checkEntries(first, last, snapshotIndex, &contents); err != nil {
 			return contents, fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
 	}
-	if term, _ := d.Store.GetUint64([]byte(keyTerm)); term < contents.Term && contents.Last > 1 { // a crash while forming leaves entry 1 alone
-		return contents, fmt.Errorf("%w: %s: the term kept is %d, and the log goes to %d", ErrDamaged, d.Store.path, term, contents.Term)
+	// A crash while forming the cluster leaves entry 1 without a term.
+	if term, _ := d.Store.GetUint64([]byte(keyTerm)); term < contents.Term && contents.Last > 1 {
+		return contents, fmt.Errorf("%w: %s: the stored term is %d, but the log has entries of term %d", ErrDamaged, d.Store.path, term, contents.Term)
 	}
 	return contents, nil
 }
 
-// The form of bbolt's first two pages, which say by turns where the rest is.
+// Layout of bbolt's two meta pages, which are written alternately and refer to the rest of the file.
 const (
-	metaOffset     = 16 // after the page's own head
-	metaSize       = 64 // up to its checksum
-	pageSizeOffset = 8  // where the size of a page is told
+	metaOffset     = 16 // offset of the meta data, after the page header
+	metaSize       = 64 // size of the meta data including its checksum
+	pageSizeOffset = 8  // offset of the page size within the meta data
 	metaMagic      = 0xED0CDAED
 )
 
-// checkMetas refuses a bbolt file one of whose two first pages is damaged. bbolt would go on with the other one, and so lose
-// without a word what was committed last: a vote, or an entry that was acknowledged. A write that a crash cuts short
-// does not look like that: the part that counts lies in one sector.
+// checkMetaPages refuses a bbolt file if one of its two meta pages is damaged. bbolt would use the other one, and silently lose
+// the last commit: a vote, or an acknowledged entry. A write interrupted by a crash does not cause such damage, because
+// the relevant part of the page lies in one sector.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -93,7 +94,7 @@
 		h := fnv.New64a()
 		h.Write(meta[:metaSize-8])
 		if binary.NativeEndian.Uint32(meta) != metaMagic || h.Sum64() != binary.NativeEndian.Uint64(meta[metaSize-8:]) {
-			return fmt.Errorf("page %d is not as it was written", page)
+			return fmt.Errorf("meta page %d is damaged", page)
 		}
 		if page == 0 {
 			size = int64(binary.NativeEndian.Uint32(meta[pageSizeOffset:]))
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// checkKeys walks over the log's keys in the order of the pages. bbolt looks for a key as if they were in order, so one that
-// has changed could hide others behind it. (bbolt's own check would panic in a goroutine of its own.)
+// checkKeys iterates over the log's keys in page order and checks that they are consecutive. bbolt's search assumes sorted
+// keys, so a damaged one could hide others. bbolt's own check cannot be used: it panics in a goroutine of its own.
 func checkKeys(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer recoverFault(&err)
@@ -123,7 +124,7 @@
 		var last uint64
 		return b.ForEach(func(k, _ []byte) error {
 			if len(k) != 8 || last > 0 && binary.BigEndian.Uint64(k) != last+1 {
-				return fmt.Errorf("the key %x comes after entry %d", k, last)
+				return fmt.Errorf("key %x follows entry %d", k, last)
 			}
 			last = binary.BigEndian.Uint64(k)
 			return nil
--- a/internal/cluster/voter/disk/disk.go
+++ b/internal/cluster/voter/disk/disk.go
@@ -1,5 +1,6 @@
-// Package disk is what a voter keeps: its identity, its log with what it voted, and its snapshots, in one folder that
-// belongs to one process at a time. What it reads is checked, and what is damaged is never taken for less than it was.
+// Package disk is a voter's durable storage: its identity, its raft log with term and vote, and its snapshots, in one folder
+// that is locked by one process at a time. Everything read is verified, and damaged data is reported rather than treated as
+// missing.
 package disk
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// The names in the folder.
+// File names in the folder.
 const (
 	identityFile = "identity"
 	lockFile     = "lock"
@@ -26,23 +27,23 @@
 	newSuffix    = ".new"
 )
 
-const lockTimeout = time.Second // for a process that is just ending
+const lockTimeout = time.Second // leaves time for a process that is just ending
 
-// ErrDamaged says that the disk gives back something else than was written, or takes no more.
+// ErrDamaged means that the disk returns other data than was written, or cannot be written.
 var ErrDamaged = errors.New("damaged")
 
-// Disk is one voter's folder, open.
+// Disk is the open folder of a voter.
 type Disk struct {
-	Store     *Store     // log and votes; nil where they are damaged
-	Snapshots *Snapshots // nil where they are damaged
+	Store     *Store     // log, term and vote; nil if damaged
+	Snapshots *Snapshots // nil if damaged
 
 	folder   string
 	lock     *os.File
 	identity atomic.Pointer[Identity]
 }
 
-// Open takes a voter's folder, which must exist. An empty one gets an identity, kept durably before anything else. An error
-// names the file. Where it is ErrDamaged the Disk is given all the same, for its identity and to be closed.
+// Open locks and opens a voter's folder, which must exist. In an empty one it first stores a new identity durably. Errors name
+// the file. With ErrDamaged the Disk is returned as well, for its identity and to be closed.
 func Open(folder, cluster, voter string, log hclog.Logger) (*Disk, error) {
 	if err := checkFolder(folder); err != nil {
 		return nil, err
@@ -59,7 +60,7 @@
 	if d.Store, err = openStore(filepath.Join(folder, logFile)); err != nil {
 		return d, err
 	}
-	if err = syncDir(folder); err != nil { // the log's own entry in the folder
+	if err = syncDir(folder); err != nil { // makes the log file's directory entry durable
 		return d, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if d.Snapshots, err = openSnapshots(folder, log); err != nil {
@@ -72,7 +73,7 @@
 	info, err := os.Stat(folder)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return fmt.Errorf("%s: the folder is missing: it is made by whoever installs, so that a disk that is not mounted is noticed", folder)
+		return fmt.Errorf("%s: the folder is missing: it must be created at installation, so that a disk that is not mounted is noticed", folder)
 	case err != nil:
 		return err
 	case !info.IsDir():
@@ -80,13 +81,14 @@
 	}
 	probe, err := os.CreateTemp(folder, ".probe-*")
 	if err != nil {
-		return fmt.Errorf("%s: nothing can be written there: %w", folder, err)
+		return fmt.Errorf("%s: the folder is not writable: %w", folder, err)
 	}
 	probe.Close()
 	return os.Remove(probe.Name())
 }
 
-// takeLock holds a file as long as it is open: also against another Disk of the same process.
+// acquireLock opens and locks a file. The lock lasts until the file is closed, and excludes another Disk of the same process
+// too.
 func acquireLock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -104,7 +106,7 @@
 	}
 }
 
-// load reads the identity or draws one where the folder is empty.
+// loadIdentity reads the identity, or creates one if the folder is empty.
 func (d *Disk) loadIdentity(cluster, voter string) error {
 	path := filepath.Join(d.folder, identityFile)
 	text, err := os.ReadFile(path)
@@ -126,13 +128,13 @@
 	}
 	d.identity.Store(&id)
 	if _, err := os.Stat(filepath.Join(d.folder, logFile)); errors.Is(err, fs.ErrNotExist) && id.Cluster != "" {
-		return fmt.Errorf("%s: missing beside the identity of a voter that has had one: empty the folder, so that this voter joins anew",
+		return fmt.Errorf("%s: missing beside the identity of a voter that has had one: empty the folder, so that this voter joins again",
 			filepath.Join(d.folder, logFile))
 	}
 	return nil
 }
 
-// empty refuses a folder that holds a log without an identity, or anything that is not a voter's.
+// checkEmpty refuses a folder that holds a log without an identity, or a file that does not belong to a voter.
 func (d *Disk) checkEmpty() error {
 	entries, err := os.ReadDir(d.folder)
 	if err != nil {
@@ -142,25 +144,25 @@
 		switch name := e.Name(); {
 		case name == lockFile, name == "lost+found", name == identityFile+newSuffix, strings.HasPrefix(name, "."):
 		case name == logFile || name == snapshotsDir:
-			return fmt.Errorf("%s: a log without an identity: empty the folder, so that this voter joins anew", filepath.Join(d.folder, name))
+			return fmt.Errorf("%s: a log without an identity: empty the folder, so that this voter joins again", filepath.Join(d.folder, name))
 		default:
-			return fmt.Errorf("%s: the folder holds something else than a voter's data", filepath.Join(d.folder, name))
+			return fmt.Errorf("%s: the folder holds a file that is not a voter's data", filepath.Join(d.folder, name))
 		}
 	}
 	return nil
 }
 
-// Identity is what the folder says of itself.
+// Identity returns the identity stored in the folder.
 func (d *Disk) Identity() Identity { return *d.identity.Load() }
 
-// SetCluster keeps durably to which cluster this voter belongs.
+// SetCluster stores durably to which cluster this voter belongs.
 func (d *Disk) SetCluster(id string) error {
 	i := d.Identity()
 	i.Cluster = id
 	return d.saveIdentity(i)
 }
 
-// SetVoted keeps durably that this identity has had a vote: from then on it never asks to be taken in.
+// SetVoted stores durably that this identity has had a vote. From then on it never asks to join.
 func (d *Disk) SetVoted() error {
 	i := d.Identity()
 	i.Voted = true
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// writeFile replaces a file whole and durably.
+// writeFile replaces a file atomically and durably.
 func writeFile(path string, text []byte) error {
 	f, err := os.OpenFile(path+newSuffix, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -209,12 +211,12 @@
 	return err
 }
 
-// HasState tells whether this disk has ever held a term, a vote, an entry or a snapshot.
+// HasState reports whether this disk has ever held a term, a vote, an entry or a snapshot.
 func (d *Disk) HasState() (bool, error) {
 	return raft.HasExistingState(d.Store, d.Store, d.Snapshots)
 }
 
-// Close gives the folder free. Nothing may use the Disk's parts any more.
+// Close closes the log and releases the folder. The Disk and its parts must not be used afterwards.
 func (d *Disk) Close() error {
 	var err error
 	if d.Store != nil {
--- a/internal/cluster/voter/disk/identity.go
+++ b/internal/cluster/voter/disk/identity.go
@@ -12,24 +12,24 @@
 
 const identityFormat = 1
 
-// Identity is who a disk is. A machine that loses its disk is another one.
+// Identity identifies a voter's disk. A machine that loses its disk gets another identity.
 type Identity struct {
 	Format      int    `json:"format"`
 	ClusterName string `json:"cluster_name"`
 	Voter       string `json:"voter"`      // the name in the configuration
 	Identity    string `json:"identity"`   // 128 random bits in hex
-	Cluster     string `json:"cluster_id"` // "" until this voter was claimed or taken in
-	Voted       bool   `json:"voted"`      // it has been a voter of the cluster
+	Cluster     string `json:"cluster_id"` // "" until this voter was claimed or has begun to join
+	Voted       bool   `json:"voted"`      // this identity has had a vote in the cluster
 }
 
-// NewID draws 128 bits in hex.
+// NewID returns 128 random bits in hex.
 func NewID() string {
 	var b [16]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// ValidID tells whether a text may be one of NewID.
+// ValidID reports whether a text has the form of an id made by NewID.
 func ValidID(id string) bool {
 	b, err := hex.DecodeString(id)
 	return err == nil && len(b) == 16 && id == strings.ToLower(id)
@@ -40,7 +40,7 @@
 }
 
 func (i Identity) encode() []byte {
-	text, _ := json.MarshalIndent(i, "", "  ") // texts and numbers
+	text, _ := json.MarshalIndent(i, "", "  ") // cannot fail: only strings, numbers and booleans
 	return append(text, '\n')
 }
 
@@ -52,7 +52,7 @@
 		return Identity{}, fmt.Errorf("not a voter's identity: %w", err)
 	}
 	if f.Format != identityFormat {
-		return Identity{}, fmt.Errorf("format %d, and this program reads %d", f.Format, identityFormat)
+		return Identity{}, fmt.Errorf("format %d, but this program reads format %d", f.Format, identityFormat)
 	}
 	var i Identity
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -68,10 +68,10 @@
 
 func (i Identity) check(cluster, voter string) error {
 	if i.ClusterName != cluster {
-		return fmt.Errorf("the folder belongs to the cluster %q, and this one is %q", i.ClusterName, cluster)
+		return fmt.Errorf("the folder belongs to cluster %q, but this cluster is %q", i.ClusterName, cluster)
 	}
 	if i.Voter != voter {
-		return fmt.Errorf("the folder belongs to the voter %q, and this one is %q", i.Voter, voter)
+		return fmt.Errorf("the folder belongs to voter %q, but this voter is %q", i.Voter, voter)
 	}
 	return nil
 }
--- a/internal/cluster/voter/disk/snapshots.go
+++ b/internal/cluster/voter/disk/snapshots.go
@@ -14,10 +14,10 @@
 
 const (
 	retainedSnapshots = 2
-	tmpSuffix         = ".tmp" // of a snapshot that is being written
+	tmpSuffix         = ".tmp" // of a snapshot that is still being written
 )
 
-// Snapshots is raft's own store of snapshot files, whose faults go to the function set by OnFault.
+// Snapshots is raft's file snapshot store. It reports disk faults to the function set by OnFault.
 type Snapshots struct {
 	files   *raft.FileSnapshotStore
 	onFault atomic.Pointer[func(error)]
@@ -39,7 +39,7 @@
 	return &Snapshots{files: files, path: path}, nil
 }
 
-// OnFault sets what is called where the disk fails. It may return: raft takes a failed snapshot as such.
+// OnFault sets the function called on a disk fault. It may return, because raft handles the error of a failed snapshot.
 func (s *Snapshots) OnFault(f func(error)) { s.onFault.Store(&f) }
 
 func (s *Snapshots) reportFault(op string, err error) error {
@@ -59,9 +59,9 @@
 	return &sink{k, s}, nil
 }
 
-// List implements raft.SnapshotStore. One that raft passes over, since its description does not read, is a fault.
+// List implements raft.SnapshotStore. A snapshot that raft skips because its metadata is unreadable is reported as a fault.
 func (s *Snapshots) List() ([]*raft.SnapshotMeta, error) {
-	entries, err := os.ReadDir(s.path) // first: until the next line there may come more, and the oldest may go
+	entries, err := os.ReadDir(s.path) // before files.List: in between a snapshot may be added and the oldest removed
 	if err != nil {
 		return nil, s.reportFault("list snapshots", err)
 	}
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(all) < min(complete, retainedSnapshots) {
-		return nil, s.reportFault("list snapshots", fmt.Errorf("%d of %d do not read", complete-len(all), complete))
+		return nil, s.reportFault("list snapshots", fmt.Errorf("%d of %d are unreadable", complete-len(all), complete))
 	}
 	return all, nil
 }
@@ -84,7 +84,7 @@
 // Open implements raft.SnapshotStore.
 func (s *Snapshots) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	m, r, err := s.files.Open(id)
-	if os.IsNotExist(err) { // a newer one has taken its place since it was listed
+	if os.IsNotExist(err) { // a newer snapshot may have replaced it since it was listed
 		if _, e := os.Stat(filepath.Join(s.path, id)); os.IsNotExist(e) {
 			return nil, nil, err
 		}
@@ -95,6 +95,7 @@
 	return m, r, nil
 }
 
+// sink reports faults while a snapshot is written.
 type sink struct {
 	raft.SnapshotSink
 	s *Snapshots
--- a/internal/cluster/voter/disk/store.go
+++ b/internal/cluster/voter/disk/store.go
@@ -16,7 +16,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// The keys under which hashicorp/raft keeps its term and vote, and the one under which they are kept here.
+// The keys of hashicorp/raft for its term and vote, and the key under which the Store keeps them together.
 const (
 	keyTerm        = "CurrentTerm"
 	keyVoteTerm    = "LastVoteTerm"
@@ -24,27 +24,26 @@
 	keyTermAndVote = "kept"
 )
 
-// Store keeps raft's log, term and vote in a bbolt file, each entry with a CRC32C. Term and vote are one value with another:
-// raft writes a vote's term and its candidate one after the other, and a crash in between would leave a vote in a new term
-// for the candidate of an old one, which raft takes for a vote already given and repeats without looking at the
-// candidate's log.
+// Store keeps raft's log, term and vote in a bbolt file. Each entry has a CRC32C checksum. Term and vote are one value with a
+// checksum of its own: raft writes a vote's term and its candidate one after the other, and a crash in between would leave
+// a vote in a new term for the candidate of an old one. raft would take it for a vote already given, and repeat it
+// without checking the candidate's log.
 //
-// raft panics where its store fails. So the store hands every fault to the function set by OnFault, which is expected
-// not to return.
+// raft panics if its store fails. So the store reports every fault to the function set by OnFault, which is expected not to return.
 type Store struct {
 	bolt      *raftboltdb.BoltStore
 	path      string
 	onFault   atomic.Pointer[func(error)]
 	hook      atomic.Pointer[func(op string) error]
-	preloaded atomic.Pointer[preloaded] // nil for none
+	preloaded atomic.Pointer[preloaded] // nil if released
 
 	writersMu    sync.Mutex
 	writers      int
-	writingSince time.Time // with writers: when the first of them began
+	writingSince time.Time // start of the first of the current writers
 
 	mu       sync.Mutex
 	saved    termAndVote
-	voteTerm uint64 // set by raft, and kept with its candidate
+	voteTerm uint64 // set by raft, and stored together with the candidate
 }
 
 func openStore(path string) (*Store, error) {
@@ -66,8 +65,8 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer recoverFault(&err)
 	s.bolt, err = raftboltdb.New(raftboltdb.Options{Path: s.path, BoltOptions: &bbolt.Options{
-		// The list of free pages is written too: to make it anew bbolt walks over all pages in a goroutine of its own, and
-		// panics there.
+		// The list of free pages is stored too. To rebuild it, bbolt would read all pages in a goroutine of its own, and panic
+		// there if one is damaged.
 		Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, InitialMmapSize: 64 << 20,
 	}})
 	if err == nil {
@@ -76,7 +75,7 @@
 	return err
 }
 
-// caught makes an error of a panic: bbolt panics on pages that make no sense, and a mapped file that is shorter than it was
+// recoverFault turns a panic into an error. bbolt panics on invalid pages, and access to a mapped file that was truncated
 // faults.
 func recoverFault(err *error) {
 	if v := recover(); v != nil {
@@ -84,13 +83,14 @@
 	}
 }
 
-// OnFault sets what is called, in the caller's goroutine, where the disk fails.
+// OnFault sets the function called on a disk fault, in the goroutine of the operation that failed.
 func (s *Store) OnFault(f func(error)) { s.onFault.Store(&f) }
 
-// Interpose has a function called before every operation, whose error the operation then has: for tests of what comes above.
+// Interpose sets a function called before every operation, which fails with the function's error. It lets tests inject disk
+// faults.
 func (s *Store) Interpose(f func(op string) error) { s.hook.Store(&f) }
 
-// do runs one operation. Errors in pass are raft's own business.
+// do runs one operation. Errors in expected are returned to raft without being reported as faults.
 func (s *Store) do(op string, f func() error, expected ...error) error {
 	err := func() (err error) {
 		defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -117,7 +117,7 @@
 	return err
 }
 
-// write is do for what changes the file.
+// write is do for an operation that changes the file.
 func (s *Store) write(op string, f func() error) error {
 	s.writersMu.Lock()
 	if s.writers++; s.writers == 1 {
@@ -142,22 +142,22 @@
 	return time.Since(s.writingSince)
 }
 
-// IsMonotonic tells raft that the log has no gaps: after a whole state it drops all that it had.
+// IsMonotonic tells raft that the log must not have gaps, so that it deletes the whole log after installing a snapshot.
 func (s *Store) IsMonotonic() bool { return true }
 
 // FirstIndex implements raft.LogStore.
 func (s *Store) FirstIndex() (i uint64, err error) {
-	err = s.do("read the log's begin", func() (err error) { i, err = s.bolt.FirstIndex(); return err })
+	err = s.do("read the first index", func() (err error) { i, err = s.bolt.FirstIndex(); return err })
 	return i, err
 }
 
 // LastIndex implements raft.LogStore.
 func (s *Store) LastIndex() (i uint64, err error) {
-	err = s.do("read the log's end", func() (err error) { i, err = s.bolt.LastIndex(); return err })
+	err = s.do("read the last index", func() (err error) { i, err = s.bolt.LastIndex(); return err })
 	return i, err
 }
 
-// GetLog implements raft.LogStore. An entry that is missing between others is a fault.
+// GetLog implements raft.LogStore. A missing entry between the first and the last index is a fault.
 func (s *Store) GetLog(index uint64, l *raft.Log) error {
 	if s.preloaded.Load().get(index, l) {
 		return nil
@@ -172,6 +172,7 @@
 	}, raft.ErrLogNotFound)
 }
 
+// missing returns the error for an entry that was not found: a fault if the log should have it.
 func (s *Store) missing(index uint64) error {
 	first, err := s.bolt.FirstIndex()
 	if err != nil {
@@ -182,7 +183,7 @@
 		return err
 	}
 	if first <= index && index <= last {
-		return fmt.Errorf("entry %d is missing between %d and %d", index, first, last)
+		return fmt.Errorf("entry %d is missing in a log from %d to %d", index, first, last)
 	}
 	return raft.ErrLogNotFound
 }
@@ -190,7 +191,7 @@
 // StoreLog implements raft.LogStore.
 func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs implements raft.LogStore. The entries are not changed: raft sends them on.
+// StoreLogs implements raft.LogStore. It does not modify the entries, because raft also sends them to followers.
 func (s *Store) StoreLogs(logs []*raft.Log) error {
 	if a := s.preloaded.Load(); a != nil && len(logs) > 0 && logs[0].Index < a.first+uint64(len(a.logs)) {
 		s.ReleasePreloaded()
@@ -211,10 +212,11 @@
 	return s.write("delete entries", func() error { return s.bolt.DeleteRange(from, to) })
 }
 
+// stripChecksum verifies the checksum of a stored entry and removes it from the extensions.
 func stripChecksum(index uint64, l *raft.Log) error {
 	n := len(l.Extensions) - 4
 	if n < 0 || l.Index != index || binary.LittleEndian.Uint32(l.Extensions[n:]) != checksum(index, l, l.Extensions[:n]) {
-		return fmt.Errorf("entry %d has another checksum than it was written with", index)
+		return fmt.Errorf("entry %d has a wrong checksum", index)
 	}
 	if l.Extensions = l.Extensions[:n:n]; n == 0 {
 		l.Extensions = nil
@@ -222,6 +224,7 @@
 	return nil
 }
 
+// checksum returns the CRC32C of an entry's index, term, type, data and extensions.
 func checksum(index uint64, l *raft.Log, extensions []byte) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
 	head := binary.LittleEndian.AppendUint64(nil, index)
@@ -231,10 +234,10 @@
 	return crc32.Update(crc32.Update(crc32.Update(0, table, head), table, l.Data), table, extensions)
 }
 
-// kept is what raft keeps beside the log, in one value.
+// termAndVote is what raft stores in addition to the log, in one value.
 type termAndVote struct {
 	term, voteTerm uint64
-	candidate      []byte // of the vote in voteTerm; nil for none
+	candidate      []byte // voted for in voteTerm; nil for none
 }
 
 func (k termAndVote) encode() []byte {
@@ -246,7 +249,7 @@
 func decodeTermAndVote(b []byte) (k termAndVote, err error) {
 	n := len(b) - 4
 	if n < 16 || binary.LittleEndian.Uint32(b[n:]) != crc32.Checksum(b[:n], crc32.MakeTable(crc32.Castagnoli)) {
-		return k, errors.New("the votes have another checksum than they were written with")
+		return k, errors.New("the stored term and vote have a wrong checksum")
 	}
 	k = termAndVote{term: binary.LittleEndian.Uint64(b), voteTerm: binary.LittleEndian.Uint64(b[8:])}
 	if n > 16 {
@@ -266,7 +269,7 @@
 	return err
 }
 
-// keep changes what is kept. It is called under mu.
+// saveTermAndVote replaces the stored term and vote. The caller holds mu.
 func (s *Store) saveTermAndVote(k termAndVote) error {
 	err := s.write("write the term and the vote", func() error { return s.bolt.Set([]byte(keyTermAndVote), k.encode()) })
 	if err == nil {
@@ -275,10 +278,10 @@
 	return err
 }
 
-// Set implements raft.StableStore. The candidate of a vote comes after its term, and both are kept then.
+// Set implements raft.StableStore. raft sets a vote's candidate after its term, and both are stored now.
 func (s *Store) Set(key, value []byte) error {
 	if string(key) != keyVoteCand {
-		return fmt.Errorf("raft keeps %q, which is not known here", key)
+		return fmt.Errorf("raft writes the unknown key %q", key)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,13 +303,13 @@
 		k.term = v
 		return s.saveTermAndVote(k)
 	}
-	return fmt.Errorf("raft keeps %q, which is not known here", key)
+	return fmt.Errorf("raft writes the unknown key %q", key)
 }
 
-// Get implements raft.StableStore: nil for a vote that was never given.
+// Get implements raft.StableStore. It returns nil if no vote was ever given.
 func (s *Store) Get(key []byte) ([]byte, error) {
 	if string(key) != keyVoteCand {
-		return nil, fmt.Errorf("raft asks for %q, which is not known here", key)
+		return nil, fmt.Errorf("raft reads the unknown key %q", key)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,10 +326,10 @@
 	case keyTerm:
 		return s.saved.term, nil
 	}
-	return 0, fmt.Errorf("raft asks for %q, which is not known here", key)
+	return 0, fmt.Errorf("raft reads the unknown key %q", key)
 }
 
-// close is given up after a while: after a fault bbolt may hold its locks.
+// close closes the file, but gives up after lockTimeout: bbolt may still hold its locks after a fault.
 func (s *Store) close() error {
 	done := make(chan error, 1)
 	go func() { done <- s.bolt.Close() }()
@@ -334,6 +337,6 @@
 	case err := <-done:
 		return err
 	case <-time.After(lockTimeout):
-		return fmt.Errorf("%s: it does not close", s.path)
+		return fmt.Errorf("%s: timeout while closing the log", s.path)
 	}
 }
--- a/internal/clustertest/mutants/voters.go
+++ b/internal/clustertest/mutants/voters.go
@@ -115,7 +115,7 @@
 func unsynced() []sim.Edit {
 	const file = "cluster/voter/disk/store.go"
 	return []sim.Edit{
-		edit(file, "	voteTerm uint64 // set by raft, and kept with its candidate\n}\n", `	voteTerm uint64 // set by raft, and kept with its candidate
+		edit(file, "	voteTerm uint64 // set by raft, and stored together with the candidate\n}\n", `	voteTerm uint64 // set by raft, and stored together with the candidate
 
 	lateMu sync.Mutex
 	late   []*raft.Log
@@ -137,8 +137,8 @@
 	}
 	return nil
 `),
-		edit(file, "	err = s.do(\"read the log's begin\"", "	s.flush()\n	err = s.do(\"read the log's begin\""),
-		edit(file, "	err = s.do(\"read the log's end\"", "	s.flush()\n	err = s.do(\"read the log's end\""),
+		edit(file, "	err = s.do(\"read the first index\"", "	s.flush()\n	err = s.do(\"read the first index\""),
+		edit(file, "	err = s.do(\"read the last index\"", "	s.flush()\n	err = s.do(\"read the last index\""),
 		edit(file, "	return s.do(\"read an entry\"", "	s.flush()\n	return s.do(\"read an entry\""),
 		edit(file, "	return s.write(\"delete entries\"", "	s.flush()\n	return s.write(\"delete entries\""),
 		edit(file, "	go func() { done <- s.bolt.Close() }()\n", "	go func() { s.flush(); done <- s.bolt.Close() }()\n"),
