--- a/internal/cluster/voter/clock.go
+++ b/internal/cluster/voter/clock.go
@@ -17,7 +17,7 @@
 	rememberedReadings = 16
 )
 
-// clocks remembers when this voter gave its last readings.
+// clockHistory remembers when this voter took its most recent clock readings.
 type clockHistory struct {
 	mu       sync.Mutex
 	readings [rememberedReadings]int64
@@ -25,11 +25,11 @@
 	next     int
 }
 
-// read reads the clock. A reading that was given before counts as of the first time.
+// read returns the wall clock in milliseconds. A value that was returned before keeps the time of its first reading.
 func (c *clockHistory) read(now func() time.Time) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	when := time.Now() // first: a state that was the newest then was it before the reading
+	when := time.Now() // before reading the clock, so that the recorded time is never too late
 	ms := now().UnixMilli()
 	for _, reading := range c.readings {
 		if reading == ms {
@@ -41,7 +41,7 @@
 	return ms
 }
 
-// at is when a reading was given; zero where that is not remembered.
+// takenTime returns when a reading was first taken, or the zero time if it is no longer remembered.
 func (c *clockHistory) takenTime(ms int64) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,13 +53,13 @@
 	return time.Time{}
 }
 
-// told is what a voter answers to GET /v1/clock.
+// clockReply is the response body of GET /v1/clock.
 type clockReply struct {
 	Cluster  string `json:"cluster"`
 	Name     string `json:"name"`
 	Identity string `json:"identity"`
-	Ms       int64  `json:"ms"`      // Unix time by its clock
-	Applied  uint64 `json:"applied"` // the last index of the log that it has applied
+	Ms       int64  `json:"ms"`      // Unix time by the voter's clock
+	Applied  uint64 `json:"applied"` // index of the last log entry that it has applied
 }
 
 func (v *Voter) serveClock(w http.ResponseWriter, _ *http.Request) {
@@ -76,7 +76,7 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// keepTime proposes what the voters' clocks say, for as long as this voter leads.
+// proposeClockEntries periodically proposes a clock entry with the voters' readings, until the leadership ends.
 func (v *Voter) proposeClockEntries(ctx context.Context, run *raftRun) {
 	if v.c.Timings.Clock < 0 {
 		return
@@ -85,7 +85,7 @@
 	defer ticker.Stop()
 	for {
 		if raw := v.readClocks(ctx, run); raw != nil {
-			_, _ = v.propose(ctx, run, raw) // the next one is another try
+			_, _ = v.propose(ctx, run, raw) // a failed proposal is replaced by the next one
 		}
 		select {
 		case <-ticker.C:
@@ -95,7 +95,7 @@
 	}
 }
 
-// readClocks asks all voters for their clocks; nil where no majority has answered in time.
+// readClocks asks all voters for their clocks and returns the encoded clock entry, or nil if no majority answers in time.
 func (v *Voter) readClocks(ctx context.Context, run *raftRun) []byte {
 	ctx, cancel := context.WithTimeout(ctx, clockCallTimeout)
 	defer cancel()
--- a/internal/cluster/voter/config.go
+++ b/internal/cluster/voter/config.go
@@ -1,5 +1,5 @@
-// Package voter is a member that agrees with the others on the record's entries: consensus by hashicorp/raft, over an
-// identity and a log on its own disk. docs/cluster.md has the design.
+// Package voter implements a cluster member that takes part in consensus on the record's entries. It runs hashicorp/raft
+// on an identity and a log kept on its own disk. docs/cluster.md describes the design.
 package voter
 
 import (
@@ -20,31 +20,31 @@
 	"burlpass/internal/record"
 )
 
-// Peer is a voter as the configuration names it.
+// Peer is a voter listed in the configuration.
 type Peer struct {
 	Name string
 	Addr string // host:port
 }
 
-// Timings of a voter; zero values stand for the defaults, which suit a local network. All voters of a cluster should have
-// the same.
+// Timings are the timeouts and intervals of a voter. Zero values select the defaults, which suit a local network. All voters
+// of a cluster should use the same values.
 type Timings struct {
-	Heartbeat         time.Duration // a follower that has heard nothing from its leader for one to two of it asks for an election
-	Election          time.Duration // at most half of the time that one try of an election takes; at least Heartbeat
-	LeaderLease       time.Duration // a leader that has heard from no majority for so long steps down; at most Heartbeat
-	HeartbeatInterval time.Duration // a leader's heartbeats go out each one to two of it; at most a third of Lease
-	CommitInterval    time.Duration // a follower hears within one to two of it of what was committed, where nothing new is written
-	DiskStall         time.Duration // a leader one of whose writes to its disk takes longer goes silent until it is done
-	CallTimeout       time.Duration // for one call between voters; a snapshot has so much for each 256 KiB
-	Clock             time.Duration // between two clock entries; below 0: none
-	JoinInterval      time.Duration // between two tries to form or to be taken in
-	LeaderWait        time.Duration // for a leader, of a write or a consistent read
-	Snapshot          time.Duration // between two looks at whether a snapshot is due, at least
-	Threshold         uint64        // entries since the last snapshot that make one due
-	Trailing          uint64        // entries that are kept before it
+	Heartbeat         time.Duration // a follower starts an election after one to two times this without contact from the leader
+	Election          time.Duration // an election round times out after one to two times this; at least Heartbeat
+	LeaderLease       time.Duration // a leader without contact to a majority for this long steps down; at most Heartbeat
+	HeartbeatInterval time.Duration // a leader sends a heartbeat every one to two times this; at most a third of LeaderLease
+	CommitInterval    time.Duration // without new writes, a follower learns the commit index within one to two times this
+	DiskStall         time.Duration // a leader closes its connections while a disk write takes longer than this
+	CallTimeout       time.Duration // timeout of one call between voters; a snapshot transfer gets this much per 256 KiB
+	Clock             time.Duration // between two clock entries; negative disables them
+	JoinInterval      time.Duration // between two attempts to form or join the cluster
+	LeaderWait        time.Duration // how long a write or a consistent read is retried while there is no leader
+	Snapshot          time.Duration // minimum time between two checks whether a snapshot is due
+	Threshold         uint64        // entries since the last snapshot that trigger the next one
+	Trailing          uint64        // log entries kept from before a snapshot
 }
 
-// The defaults of Timings.
+// Defaults of Timings.
 const (
 	DefaultHeartbeat         = 400 * time.Millisecond
 	DefaultElection          = 400 * time.Millisecond
@@ -61,25 +61,26 @@
 	DefaultTrailing          = 8192
 )
 
-// Config of a Voter.
+// Config configures a Voter.
 type Config struct {
 	Cluster string // the cluster's name
-	Name    string // this voter's, one of Voters
-	Folder  string // its own, which exists
-	Voters  []Peer // in the one order that all have; the first one forms the cluster
+	Name    string // the name of this voter, one of Voters
+	Folder  string // the voter's own data directory, which must exist
+	Voters  []Peer // in the same order on all voters; the first one forms the cluster
 	Bounds  record.Bounds
 	Domains []record.Domain
-	Entries int // kept for followers; 0: the replica's default
+	Entries int // entries kept for followers; 0 means the replica's default
 	Timings Timings
-	Log     *slog.Logger // nil: none
-	// Reign is run while this voter leads and shows all that was committed before; it returns soon after its context is done. nil: nothing.
+	Log     *slog.Logger // nil discards all output
+	// Reign, if set, runs while this voter is the leader and has applied everything committed in earlier terms. It must return
+	// soon after its context is done.
 	Reign func(ctx context.Context, m api.Member)
-	// Dial makes all connections to other voters; nil: the system's.
+	// Dial opens all connections to other voters; nil means net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Limits are those of the fleet by a state of the record. It is called by the leader, when the record has changed; nil: none, and
-	// questions about leases are refused.
+	// Limits returns the fleet's limits for a state of the record. The leader calls it when the record has changed. If it is nil,
+	// there are no limits, and lease requests are refused.
 	Limits func(record.View) []lease.Limit
-	// Now is read for the record's clock entries only; nil: time.Now.
+	// Now is used for the record's clock entries only; nil means time.Now.
 	Now func() time.Time
 }
 
@@ -87,42 +88,45 @@
 
 func (c *Config) validate() error {
 	if c.Cluster == "" || len(c.Cluster) > maxNameBytes {
-		return fmt.Errorf("cluster: the name %q must have 1 to %d bytes", c.Cluster, maxNameBytes)
+		return fmt.Errorf("cluster: name %q must have 1 to %d bytes", c.Cluster, maxNameBytes)
 	}
 	switch len(c.Voters) {
 	case 1, 3, 5, 7:
 	default:
-		return fmt.Errorf("voters: there are %d, and 1, 3, 5 or 7 are expected", len(c.Voters))
+		return fmt.Errorf("voters: got %d, expected 1, 3, 5 or 7", len(c.Voters))
 	}
 	seen := map[string]bool{}
 	for i, p := range c.Voters {
 		if p.Name == "" || len(p.Name) > maxNameBytes || strings.ContainsAny(p.Name, "/ \t\r\n") {
-			return fmt.Errorf("voters[%d].name: %q must have 1 to %d bytes without slashes and spaces", i, p.Name, maxNameBytes)
+			return fmt.Errorf("voters[%d].name: %q must have 1 to %d bytes without slashes or spaces", i, p.Name, maxNameBytes)
 		}
 		if _, _, err := net.SplitHostPort(p.Addr); err != nil {
 			return fmt.Errorf("voters[%d].addr: %w", i, err)
 		}
 		if seen["name "+p.Name] || seen["addr "+p.Addr] {
-			return fmt.Errorf("voters[%d]: its name or address is another one's too", i)
+			return fmt.Errorf("voters[%d]: duplicate name or address", i)
 		}
 		seen["name "+p.Name], seen["addr "+p.Addr] = true, true
 	}
 	if !seen["name "+c.Name] {
-		return fmt.Errorf("name: %q is none of the voters", c.Name)
+		return fmt.Errorf("name: %q is not one of the voters", c.Name)
 	}
 	t := &c.Timings
 	t.Heartbeat = cmp.Or(t.Heartbeat, DefaultHeartbeat)
-	t.Election, t.LeaderLease = cmp.Or(t.Election, max(DefaultElection, t.Heartbeat)), cmp.Or(t.LeaderLease, min(DefaultLeaderLease, t.Heartbeat))
+	t.Election, t.LeaderLease = cmp.Or(t.Election, max(DefaultElection, t.Heartbeat)),
+		cmp.Or(t.LeaderLease, min(DefaultLeaderLease, t.Heartbeat))
 	t.HeartbeatInterval = cmp.Or(t.HeartbeatInterval, min(DefaultHeartbeatInterval, t.LeaderLease/3))
-	t.CommitInterval, t.CallTimeout, t.DiskStall = cmp.Or(t.CommitInterval, DefaultCommitInterval), cmp.Or(t.CallTimeout, DefaultCallTimeout), cmp.Or(t.DiskStall, DefaultDiskStall)
-	t.Clock, t.JoinInterval, t.LeaderWait = cmp.Or(t.Clock, DefaultClockInterval), cmp.Or(t.JoinInterval, DefaultJoinInterval), cmp.Or(t.LeaderWait, DefaultLeaderWait)
+	t.CommitInterval, t.CallTimeout, t.DiskStall = cmp.Or(t.CommitInterval, DefaultCommitInterval),
+		cmp.Or(t.CallTimeout, DefaultCallTimeout), cmp.Or(t.DiskStall, DefaultDiskStall)
+	t.Clock, t.JoinInterval, t.LeaderWait = cmp.Or(t.Clock, DefaultClockInterval),
+		cmp.Or(t.JoinInterval, DefaultJoinInterval), cmp.Or(t.LeaderWait, DefaultLeaderWait)
 	t.Snapshot = cmp.Or(t.Snapshot, DefaultSnapshot)
 	t.Threshold, t.Trailing = cmp.Or(t.Threshold, DefaultThreshold), cmp.Or(t.Trailing, DefaultTrailing)
 	if t.LeaderLease > t.Heartbeat || t.Heartbeat > t.Election {
-		return errors.New("timings: lease, heartbeat and election must not get shorter in this order")
+		return errors.New("timings: need leader lease <= heartbeat <= election")
 	}
 	if t.HeartbeatInterval < 0 || t.HeartbeatInterval > t.LeaderLease/3 {
-		return errors.New("timings: a beat must be at most a third of the lease")
+		return errors.New("timings: the heartbeat interval must be at most a third of the leader lease")
 	}
 	if c.Log == nil {
 		c.Log = logging.Discard()
@@ -136,7 +140,7 @@
 	return nil
 }
 
-// address gives a configured voter's host:port, "" for another name.
+// address returns the host:port of a configured voter, or "" for an unknown name.
 func (c *Config) address(name string) string {
 	for _, p := range c.Voters {
 		if p.Name == name {
@@ -146,7 +150,7 @@
 	return ""
 }
 
-// listed is the same for all voters that go by the same list in the same order.
+// votersHash returns a hash of the cluster's name and the voters' names in order. Voters with the same list have the same hash.
 func (c *Config) votersHash() string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n", c.Cluster)
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -14,25 +14,26 @@
 	"burlpass/internal/cluster/voter/link"
 )
 
-// claim is the body of POST /v1/claim: the first voter of a configuration is about to form the cluster.
+// claimRequest is the body of POST /v1/claim. The first voter of the configuration sends it to all others before it forms
+// the cluster.
 type claimRequest struct {
 	ClusterName string `json:"cluster_name"`
-	Cluster     string `json:"cluster"` // the id that it will have
+	Cluster     string `json:"cluster"` // id of the cluster to be formed
 	Name        string `json:"name"`
 	Identity    string `json:"identity"`
 	VotersHash  string `json:"listed"` // a hash of the voters' names in their order
 }
 
-// claimed is its answer.
+// claimReply is the response body of POST /v1/claim.
 type claimReply struct {
 	Name     string `json:"name"`
 	Identity string `json:"identity"`
 }
 
-// attend sees to it that this voter gets its vote: by forming the cluster, by being claimed or by being taken in.
+// ensureVote runs until this voter has a vote: it forms the cluster, is claimed by the voter that forms it, or joins it.
 func (v *Voter) ensureVote(ctx context.Context) {
-	var lastAnswered string // that has answered last
-	// A disk with state has formed before, or has been on the way to be taken in: either way asking does no harm.
+	var lastAnswered string // the voter that answered the last join request
+	// A disk with state has formed the cluster before or was joining it; in both cases a join request does no harm.
 	forming := v.c.isFirst() && v.currentRun() == nil
 	for ctx.Err() == nil {
 		if v.failure() != nil {
@@ -45,7 +46,7 @@
 		switch {
 		case !forming:
 			lastAnswered = v.requestJoin(ctx, lastAnswered)
-		case v.currentRun() != nil: // formed, and not elected yet
+		case v.currentRun() != nil: // formed, but no leader elected yet
 		default:
 			forming = v.tryForm(ctx)
 		}
@@ -55,13 +56,13 @@
 		select {
 		case <-time.After(v.c.Timings.JoinInterval):
 		case <-changed:
-			time.Sleep(v.c.Timings.JoinInterval / 10) // changes come in swarms
+			time.Sleep(v.c.Timings.JoinInterval / 10) // coalesce bursts of changes
 		case <-ctx.Done():
 		}
 	}
 }
 
-// hasVote tells whether a committed configuration, of the log or of a snapshot, gives this identity a vote.
+// hasVote reports whether a committed configuration, from the log or a snapshot, gives this identity a vote.
 func (v *Voter) hasVote() bool {
 	if v.currentRun() == nil {
 		return false
@@ -78,6 +79,7 @@
 	return err == nil && has
 }
 
+// markJoined stores durably that this identity has a vote, and ends the joining state.
 func (v *Voter) markJoined() {
 	v.startMu.Lock()
 	err := v.disk.SetVoted()
@@ -95,7 +97,7 @@
 	v.log.Info("cluster_joined", "voter", v.c.Name, "identity", id.Identity, "cluster", id.Cluster)
 }
 
-// tryForm claims all other voters and forms the cluster with them. It answers false where there is a cluster already.
+// tryForm claims all other voters and forms the cluster with them. It returns false if a cluster already exists.
 func (v *Voter) tryForm(ctx context.Context) bool {
 	v.startMu.Lock()
 	id := v.disk.Identity()
@@ -130,7 +132,7 @@
 			return false
 		}
 		if errs[i] == nil && (answers[i].Name != p.Name || !disk.ValidID(answers[i].Identity)) {
-			errs[i] = fmt.Errorf("the voter %q answers at %s", answers[i].Name, p.Addr)
+			errs[i] = fmt.Errorf("voter %q answers at %s", answers[i].Name, p.Addr)
 		}
 		if errs[i] != nil {
 			complete = false
@@ -151,7 +153,7 @@
 	return true
 }
 
-// serveClaim keeps the first voter's claim, as long as this voter's disk has never held a vote or an entry.
+// serveClaim accepts the first voter's claim as long as this voter's disk has never held a vote or an entry.
 func (v *Voter) serveClaim(w http.ResponseWriter, r *http.Request) {
 	var request claimRequest
 	if !decodeBody(w, r, &request) {
@@ -160,13 +162,13 @@
 	reason := ""
 	switch {
 	case request.ClusterName != v.c.Cluster:
-		reason = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
+		reason = fmt.Sprintf("this voter belongs to cluster %q", v.c.Cluster)
 	case request.VotersHash != v.c.votersHash():
-		reason = "the voters are others here, or in another order"
+		reason = "the configured voters differ, or their order does"
 	case request.Name != v.c.Voters[0].Name || v.c.isFirst():
 		reason = fmt.Sprintf("the first voter is %q", v.c.Voters[0].Name)
 	case !disk.ValidID(request.Cluster) || !disk.ValidID(request.Identity):
-		reason = "no ids"
+		reason = "invalid cluster id or identity"
 	}
 	if reason != "" {
 		v.throttled.warn("cluster_claim_refused", "of", request.Name, "why", reason)
@@ -186,11 +188,11 @@
 			return
 		}
 		if !fresh {
-			writeRefusal(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
+			writeRefusal(w, http.StatusConflict, refusal{Refused: "this disk already holds the state of a cluster", State: true})
 			return
 		}
 	} else if state, err := v.hasState(); err != nil || state {
-		writeRefusal(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
+		writeRefusal(w, http.StatusConflict, refusal{Refused: "this disk already holds the state of a cluster", State: true})
 		return
 	}
 	writeJSON(w, http.StatusOK, claimReply{v.c.Name, v.identity()})
--- a/internal/cluster/voter/fsm.go
+++ b/internal/cluster/voter/fsm.go
@@ -17,28 +17,28 @@
 	"burlpass/internal/record"
 )
 
-// fsm hands what was committed to the replica. It tells when the replica may be shown: a state that a start has brought
-// back may be older than what was shown before it.
+// fsm is raft's state machine: it applies committed entries to the replica. It also decides when the replica may be shown,
+// because a state restored at a restart may be older than the state shown before it.
 type fsm struct {
 	replica     *replica.Replica
-	ownIdentity string // identity
+	ownIdentity string // this voter's identity
 	clock       *clockHistory
 	fail        func(error)
-	onCaughtUp  func() // is called once what the disk held at the start has been applied, if that is ever known
+	onCaughtUp  func() // called once everything that was stored at the start is known to be applied
 
 	mu              sync.Mutex
-	stored          disk.Contents // by the disk at the start
-	snapshotVersion record.Version
-	restored        bool // raft has restored what it restores at its start
+	stored          disk.Contents  // on the disk at the start
+	snapshotVersion record.Version // version of the snapshot restored at the start
+	restored        bool           // raft has finished restoring its state at the start
 	appliedIndex    uint64
-	newerTerm       bool // an entry of a later term than the disk held has been applied
-	hasVote         bool // this identity has a vote by a committed configuration
+	newerTerm       bool // an entry of a later term than the stored ones has been applied
+	hasVote         bool // a committed configuration gives this identity a vote
 	visible         bool
 	applyErr        error
-	freshAsOf       time.Time // what is applied was surely the newest then; zero where no clock entry has told
+	freshAsOf       time.Time // the applied state was known to be the latest at this time; zero before the first clock entry
 }
 
-// applied is what an entry's future answers.
+// applyResult is the response of an entry's raft future.
 type applyResult struct {
 	result record.Result
 	err    error
@@ -46,14 +46,14 @@
 
 var _ raft.BatchingFSM = (*fsm)(nil)
 
-// hold says what the disk held, before raft starts.
+// setStored sets what the disk holds. It is called before raft starts.
 func (f *fsm) setStored(h disk.Contents) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stored = h
 }
 
-// started says that raft has started on what the disk held.
+// started is called once raft has started and restored its snapshot.
 func (f *fsm) started() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,11 +63,11 @@
 	}
 }
 
-// look decides whether the state may be shown from now on. It is called under mu.
+// updateVisible decides whether the state may be shown from now on. The caller holds mu.
 func (f *fsm) updateVisible() {
 	switch {
 	case f.visible || !f.restored:
-	case f.stored.Last == 0: // nothing was shown by this disk, and an empty state is old where a cluster has one
+	case f.stored.Last == 0: // the disk was empty: nothing was shown before, but an empty state may be outdated until there is a vote
 		f.visible = f.hasVote
 	default:
 		if f.visible = f.newerTerm || f.replica.Version() >= f.snapshotVersion+record.Version(f.stored.Commands); f.visible {
@@ -82,14 +82,14 @@
 	return f.visible
 }
 
-// voter tells whether this identity has a vote by what was committed.
+// votes reports whether the committed configuration gives this identity a vote.
 func (f *fsm) votes() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hasVote
 }
 
-// arrive says that this identity has a vote by a snapshot.
+// setHasVote records that a snapshot's configuration gives this identity a vote.
 func (f *fsm) setHasVote() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,8 +97,8 @@
 	f.updateVisible()
 }
 
-// age tells how long ago the state was surely the newest. It is unknown until a clock entry of this start has told: between two
-// starts there is only the machine's clock, which may be wrong by any time.
+// age returns how long ago the state was known to be the latest. It is unknown until a clock entry proposed since this start
+// is applied: across restarts there is only the machine's clock, which may be wrong by any amount.
 func (f *fsm) age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +111,7 @@
 // Apply implements raft.FSM.
 func (f *fsm) Apply(l *raft.Log) any { return f.ApplyBatch([]*raft.Log{l})[0] }
 
-// ApplyBatch implements raft.BatchingFSM. At a start the batches are large, and their entries are decoded on all cores.
+// ApplyBatch implements raft.BatchingFSM. At a start the batches are large, and the replica decodes their entries on all cores.
 func (f *fsm) ApplyBatch(logs []*raft.Log) []any {
 	answers := make([]any, len(logs))
 	f.mu.Lock()
@@ -151,7 +151,7 @@
 	return answers
 }
 
-// after takes note of an entry that has been applied.
+// noteApplied updates the state that depends on which entries have been applied.
 func (f *fsm) noteApplied(l *raft.Log) {
 	var readingTime time.Time
 	if l.Type == raft.LogCommand {
@@ -170,8 +170,8 @@
 	f.updateVisible()
 }
 
-// told is when this voter's clock gave the reading that an entry has of it; zero where it has none. What was committed by then
-// comes before that entry, for it was appended later.
+// readingTime returns when this voter took the clock reading in a clock entry, or zero if the entry has none from it. The
+// entry was appended after the reading, so everything committed by that time precedes it in the log.
 func (f *fsm) readingTime(raw []byte) time.Time {
 	if !bytes.Contains(raw, []byte(f.ownIdentity)) {
 		return time.Time{}
@@ -188,6 +188,7 @@
 	return time.Time{}
 }
 
+// failApply stops the application of entries and reports the fault.
 func (f *fsm) failApply(err error) {
 	f.mu.Lock()
 	f.applyErr = err
@@ -195,6 +196,7 @@
 	f.fail(err)
 }
 
+// isVoter reports whether an identity has a vote in a configuration.
 func isVoter(c raft.Configuration, identity string) bool {
 	for _, s := range c.Servers {
 		if string(s.ID) == identity {
@@ -204,7 +206,7 @@
 	return false
 }
 
-// holder gives the identity that has a name, and whether it votes; "" for none.
+// holder returns the identity that has a name, or "" if there is none, and whether that identity has a vote.
 func holder(c raft.Configuration, name string) (identity string, votes bool) {
 	for _, s := range c.Servers {
 		if n, id := link.Split(s.Address); n == name && (!votes || s.Suffrage == raft.Voter) {
@@ -214,7 +216,7 @@
 	return identity, votes
 }
 
-// Snapshot implements raft.FSM: the view does not change any more.
+// Snapshot implements raft.FSM. The returned view is immutable.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +230,7 @@
 func (f *fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	if err := f.replica.Restore(from); err != nil {
-		err = fmt.Errorf("a snapshot does not read: %w", err)
+		err = fmt.Errorf("cannot restore snapshot: %w", err)
 		f.failApply(err)
 		return err
 	}
--- a/internal/cluster/voter/join.go
+++ b/internal/cluster/voter/join.go
@@ -12,37 +12,39 @@
 	"burlpass/internal/cluster/voter/link"
 )
 
-// entrant is the body of POST /v1/join: a voter without a vote asks for one. It repeats that until it has it.
+// joinRequest is the body of POST /v1/join. A voter without a vote repeats it until it has one.
 type joinRequest struct {
 	ClusterName string `json:"cluster_name"`
 	VotersHash  string `json:"listed"`
 	Name        string `json:"name"`
 	Identity    string `json:"identity"`
-	Cluster     string `json:"cluster"` // the id that it has kept, "" for none
-	// Member is what its disk knew of its own membership when it started; nil for nothing.
+	Cluster     string `json:"cluster"` // the stored cluster id, "" for none
+	// Member is what the joining voter's disk knew of its membership at the start; nil for nothing.
 	Member *membership `json:"member,omitempty"`
 }
 
-// taken is its answer.
+// joinReply is the response body of POST /v1/join.
 type joinReply struct {
-	Cluster  string `json:"cluster"` // the id to be kept before anything else
+	Cluster  string `json:"cluster"` // id that the joining voter has to store first
 	Votes    bool   `json:"votes"`
 	Progress string `json:"said,omitempty"`
-	// Replaced says that the entrant was a member and was taken out: it never comes in again.
+	// Replaced tells that the identity was a member and has been removed. It can never join again.
 	Replaced bool   `json:"replaced,omitempty"`
-	Holder   string `json:"holder,omitempty"` // then, the identity that has its name; "" for none
+	Holder   string `json:"holder,omitempty"` // if replaced, the identity that has its name now; "" for none
 }
 
-// attempt is how far the leader is with an entrant.
+// joinAttempt is what the leader remembers of a joining voter's last request.
 type joinAttempt struct {
 	term      uint64
-	lastIndex uint64 // the log's end when the entrant asked last
+	lastIndex uint64 // last index of the leader's log at that time
 }
 
-// askJoin asks one voter after another, from the one that answered last on, and gives the name of the one that has.
+// requestJoin asks one voter after another, starting with the one that answered last, and returns the name of the one that
+// answered, or "" if none did.
 func (v *Voter) requestJoin(ctx context.Context, lastAnswered string) string {
 	id := v.disk.Identity()
-	request := joinRequest{ClusterName: v.c.Cluster, VotersHash: v.c.votersHash(), Name: v.c.Name, Identity: id.Identity, Cluster: id.Cluster, Member: v.membership}
+	request := joinRequest{ClusterName: v.c.Cluster, VotersHash: v.c.votersHash(), Name: v.c.Name,
+		Identity: id.Identity, Cluster: id.Cluster, Member: v.membership}
 	first := 0
 	for i, p := range v.c.Voters {
 		if p.Name == lastAnswered {
@@ -66,13 +68,13 @@
 			v.failReplaced(id.Identity, reply.Holder)
 			return p.Name
 		}
-		// Also where the id is kept already: the first voter, started again before it held an entry, does not run raft yet.
+		// This also applies if the id is already stored: the first voter does not run raft if it was restarted before it held an entry.
 		if (reply.Cluster != id.Cluster || v.currentRun() == nil) && disk.ValidID(reply.Cluster) {
 			v.startMu.Lock()
 			fresh, err := v.joinCluster(reply.Cluster, nil)
 			v.startMu.Unlock()
 			if err == nil && !fresh && reply.Cluster != id.Cluster {
-				v.throttled.warn("cluster_not_joined", "voter", v.c.Name, "asked", p.Name, "why", "the disk here holds the state of another cluster, "+id.Cluster)
+				v.throttled.warn("cluster_not_joined", "voter", v.c.Name, "asked", p.Name, "why", "this disk holds the state of another cluster, "+id.Cluster)
 			}
 		}
 		return p.Name
@@ -80,7 +82,7 @@
 	return ""
 }
 
-// serveJoin takes a voter in, one step a call, or hands the call on to the leader.
+// serveJoin performs one step of adding a voter, or forwards the request to the leader.
 func (v *Voter) serveJoin(w http.ResponseWriter, r *http.Request) {
 	var request joinRequest
 	if !decodeBody(w, r, &request) {
@@ -89,13 +91,13 @@
 	reason := ""
 	switch {
 	case request.ClusterName != v.c.Cluster:
-		reason = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
+		reason = fmt.Sprintf("this voter belongs to cluster %q", v.c.Cluster)
 	case request.VotersHash != v.c.votersHash():
-		reason = "the voters are others here, or in another order"
+		reason = "the configured voters differ, or their order does"
 	case v.c.address(request.Name) == "" || !disk.ValidID(request.Identity):
-		reason = fmt.Sprintf("%q with the identity %.40q is no voter of the configuration", request.Name, request.Identity)
+		reason = fmt.Sprintf("%q with identity %.40q is not a configured voter", request.Name, request.Identity)
 	case request.Name == v.c.Name:
-		reason = "that is my own name"
+		reason = "the request has the name of this voter"
 	}
 	if reason != "" {
 		writeRefusal(w, http.StatusConflict, refusal{Refused: reason})
@@ -105,7 +107,7 @@
 	defer cancel()
 	run, leader := v.leader()
 	if run == nil || leader == "" {
-		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "no leader is known here"})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter knows no leader"})
 		return
 	}
 	var reply joinReply
@@ -114,7 +116,7 @@
 	case leader == v.c.Name:
 		reply, err = v.admit(ctx, run, request)
 	case r.Header.Get(forwardedHeader) != "":
-		err = errors.New("not the leader")
+		err = errors.New("this voter is not the leader")
 	default:
 		err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/join", request, &reply, true)
 	}
@@ -125,11 +127,12 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// admit goes one step: the entrant learns the cluster's id; it gets the log without a vote; once it has it, the identity that
-// had its name goes and it gets the vote. Each step can be taken again, also by the next leader.
+// admit performs the next step of adding a voter: it is told the cluster's id; it is added without a vote and receives the
+// log; once it has caught up, the identity that had its name before is removed and it gets the vote. Each step can be
+// repeated, also by the next leader.
 func (v *Voter) admit(ctx context.Context, run *raftRun, request joinRequest) (joinReply, error) {
 	if !v.admitMu.TryLock() {
-		return joinReply{}, errors.New("another voter is being taken in")
+		return joinReply{}, errors.New("another voter is being added")
 	}
 	defer v.admitMu.Unlock()
 	reply := joinReply{Cluster: run.cluster}
@@ -147,10 +150,10 @@
 	}
 	var clock clockReply
 	if err := v.peers.call(ctx, request.Name, http.MethodGet, "/v1/clock", nil, &clock); err != nil {
-		return reply, fmt.Errorf("you do not answer at %s: %w", v.c.address(request.Name), err)
+		return reply, fmt.Errorf("the joining voter does not answer at %s: %w", v.c.address(request.Name), err)
 	}
 	if clock.Identity != request.Identity || clock.Cluster != run.cluster {
-		return reply, fmt.Errorf("at %s answers the identity %.40q of the cluster %.40q", v.c.address(request.Name), clock.Identity, clock.Cluster)
+		return reply, fmt.Errorf("%s answers with identity %.40q of cluster %.40q", v.c.address(request.Name), clock.Identity, clock.Cluster)
 	}
 	if removed, holder, err := v.wasRemoved(ctx, run, request); err != nil || removed {
 		reply.Replaced, reply.Holder = removed, holder
@@ -160,7 +163,7 @@
 	before, known := v.recordAttempt(request.Identity, joinAttempt{term: run.raft.CurrentTerm(), lastIndex: logEnd})
 	for _, s := range c.Servers {
 		name, identity := link.Split(s.Address)
-		if name == request.Name && identity != request.Identity && s.Suffrage != raft.Voter { // left over from an earlier try
+		if name == request.Name && identity != request.Identity && s.Suffrage != raft.Voter { // left over from an earlier attempt
 			if err := v.await(ctx, run.raft.RemoveServer(s.ID, 0, v.c.Timings.CallTimeout)); err != nil {
 				return reply, err
 			}
@@ -177,7 +180,7 @@
 	return v.grantVote(ctx, run, c, request, reply)
 }
 
-// vote is the last step of admit.
+// grantVote is the last step of admit: it removes the identity that had the name and gives the joining voter its vote.
 func (v *Voter) grantVote(ctx context.Context, run *raftRun, c raft.Configuration, request joinRequest, reply joinReply) (joinReply, error) {
 	old, hadVote := holder(c, request.Name)
 	if hadVote {
@@ -202,7 +205,8 @@
 
 const maxJoinAttempts = 16
 
-// attempt gives how the entrant stood when it asked last in this term, and keeps how it stands now.
+// recordAttempt stores the current join attempt of an identity. It returns the previous one, and whether that was made in
+// the same term.
 func (v *Voter) recordAttempt(identity string, now joinAttempt) (joinAttempt, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -214,6 +218,7 @@
 	return before, ok && before.term == now.term
 }
 
+// isMember reports whether a configuration has an identity, with or without a vote.
 func isMember(c raft.Configuration, id raft.ServerID) bool {
 	for _, s := range c.Servers {
 		if s.ID == id {
--- a/internal/cluster/voter/lead.go
+++ b/internal/cluster/voter/lead.go
@@ -13,7 +13,8 @@
 	"burlpass/internal/record"
 )
 
-// watch follows who leads, for one start of raft.
+// watchLeadership follows leader changes until this raft instance is stopped, and runs the leader's tasks while this voter
+// leads.
 func (v *Voter) watchLeadership(run *raftRun, observations <-chan raft.Observation) {
 	termCtx, endTerm := context.WithCancel(v.ctx)
 	done := make(chan struct{})
@@ -28,7 +29,7 @@
 				v.throttled.warn("cluster_beats", "fault", err)
 			}
 			endTerm()
-			<-done // one reign after another
+			<-done // never run the leader's tasks twice at once
 			v.setReadyTerm(0)
 			v.observeLeader(run)
 			if isLeader {
@@ -48,6 +49,7 @@
 	}
 }
 
+// setReadyTerm sets the term in which this leader is ready; 0 for none.
 func (v *Voter) setReadyTerm(term uint64) {
 	v.mu.Lock()
 	v.readyTerm = term
@@ -55,6 +57,7 @@
 	v.mu.Unlock()
 }
 
+// observeLeader wakes waiters after a possible leader change, and logs a new leader.
 func (v *Voter) observeLeader(run *raftRun) {
 	leaderAddr, identity := run.raft.LeaderWithID()
 	name, _ := link.Split(leaderAddr)
@@ -71,15 +74,15 @@
 	}
 }
 
-// reign is what a leader does besides: it waits until all that was committed before its term is applied here, and then keeps
-// the record's time.
+// lead runs the leader's tasks other than replication. It waits until everything committed before its term is applied here;
+// then it allocates leases, runs the configured callback and proposes clock entries until the leadership ends.
 func (v *Voter) lead(ctx context.Context, run *raftRun) {
 	term := run.raft.CurrentTerm()
 	for ctx.Err() == nil {
 		if err := v.await(ctx, run.raft.Barrier(v.c.Timings.CallTimeout)); err == nil {
 			break
 		}
-		select { // not leading any more, and about to hear of it
+		select { // leadership is lost; ctx is about to be canceled
 		case <-time.After(v.c.Timings.Heartbeat / 10):
 		case <-ctx.Done():
 		}
@@ -97,7 +100,7 @@
 	wg.Wait()
 }
 
-// leader gives raft, nil where it does not run, and the leader's name, "" where none is known.
+// leader returns the running raft instance, or nil if there is none, and the leader's name, or "" if none is known.
 func (v *Voter) leader() (*raftRun, string) {
 	run := v.currentRun()
 	if run == nil {
@@ -111,9 +114,10 @@
 	return run, name
 }
 
-var errNotLeader = errors.New("this voter does not lead")
+var errNotLeader = errors.New("this voter is not the leader")
 
-// leads proves that this voter leads now, and that all that was committed by earlier leaders is applied here.
+// verifyLeader confirms with a majority that this voter is still the leader, once everything committed by earlier leaders is
+// applied here.
 func (v *Voter) verifyLeader(ctx context.Context, run *raftRun) error {
 	for {
 		v.mu.Lock()
@@ -136,14 +140,14 @@
 	}
 }
 
-// index is what GET /v1/readindex answers.
+// readIndexReply is the response body of GET /v1/readindex.
 type readIndexReply struct {
 	Version record.Version `json:"version"`
 	Cluster string         `json:"cluster"`
 }
 
-// readIndex gives a version that holds every write acknowledged before the call: this leader acknowledges none before it has
-// applied it, and those of earlier leaders are applied once it is ready.
+// readIndex returns a version that includes every write acknowledged before the call. This leader applies a write before it
+// acknowledges it, and once it is ready it has applied the writes of earlier leaders.
 func (v *Voter) readIndex(ctx context.Context, run *raftRun) (readIndexReply, error) {
 	for {
 		v.mu.Lock()
@@ -179,7 +183,7 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// askIndex has the leader give a read index.
+// requestReadIndex obtains a read index from the leader, which may be this voter. A forwarded request is not forwarded again.
 func (v *Voter) requestReadIndex(ctx context.Context, forwarded bool) (reply readIndexReply, err error) {
 	if err := v.failure(); err != nil {
 		return reply, err
@@ -187,14 +191,14 @@
 	run, leader := v.leader()
 	switch {
 	case leader == "":
-		return reply, errors.New("no leader is known here")
+		return reply, errors.New("this voter knows no leader")
 	case leader == v.c.Name:
 		return v.readIndex(ctx, run)
 	case forwarded:
 		return reply, errNotLeader
 	}
 	if err = v.peers.forward(ctx, leader, http.MethodGet, "/v1/readindex", nil, &reply, true); err == nil && reply.Cluster != run.cluster {
-		err = errors.New("the leader's address answers for another cluster")
+		err = errors.New("the voter at the leader's address belongs to another cluster")
 	}
 	return reply, err
 }
--- a/internal/cluster/voter/lease.go
+++ b/internal/cluster/voter/lease.go
@@ -17,25 +17,27 @@
 )
 
 const (
-	batchWindow     = 10 * time.Millisecond // questions that come in it are answered together
+	batchWindow     = 10 * time.Millisecond // requests that arrive within this time are answered together
 	maxBatch        = 1024
-	limitsInterval  = 50 * time.Millisecond // at most so often the limits are read from the record
+	limitsInterval  = 50 * time.Millisecond // minimum time between two reads of the limits from the record
 	termCallTimeout = 300 * time.Millisecond
 
 	metricsInterval = time.Second
 )
 
-// leases is a voter's part in dividing limits.
+// leases holds the lease requests to this voter as the leader, and their metrics.
 type leases struct {
-	requests chan *leaseRequest // for whoever reigns here
+	requests chan *leaseRequest // read by allocateLeases while this voter leads
 	metrics  *leaseMetrics
 }
 
+// leaseRequest is a holder's request that waits for the leader's reply.
 type leaseRequest struct {
 	ask   lease.Ask
-	reply chan leaseReply // of 1
+	reply chan leaseReply // buffered, so that a reply never blocks
 }
 
+// leaseReply is the answer to a leaseRequest, or why there is none.
 type leaseReply struct {
 	answer lease.Answer
 	err    error
@@ -52,15 +54,15 @@
 	case failed != nil:
 		err = failed
 	case v.c.Limits == nil:
-		err = errors.New("no limits are divided in this cluster")
+		err = errors.New("this cluster is configured without limits")
 	case leader == "":
-		err = errors.New("no leader is known here")
+		err = errors.New("this voter knows no leader")
 	case leader == v.c.Name:
 		a, err = v.requestLocally(ctx, ask)
 	default:
 		err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/divide", forwardedAsk{run.cluster, ask}, &a, true)
 		if err == nil && a.Number != ask.Number {
-			err = errors.New(leader + ": an answer to another question")
+			err = errors.New(leader + ": the answer belongs to another request")
 		}
 	}
 	if err != nil {
@@ -69,6 +71,7 @@
 	return a, nil
 }
 
+// requestLocally queues a request for allocateLeases on this voter and waits for the reply.
 func (v *Voter) requestLocally(ctx context.Context, ask lease.Ask) (lease.Answer, error) {
 	request := &leaseRequest{ask, make(chan leaseReply, 1)}
 	v.leases.metrics.asked.Inc()
@@ -89,7 +92,8 @@
 	}
 }
 
-// handedAsk is the body of POST /v1/divide: a question that another voter hands on to the leader, which hands it no further.
+// forwardedAsk is the body of POST /v1/divide: a lease request that another voter forwards to the leader. It is not forwarded
+// again.
 type forwardedAsk struct {
 	Cluster string    `json:"cluster"`
 	Ask     lease.Ask `json:"ask"`
@@ -115,7 +119,7 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// divide answers questions about leases for one reign, which has begun when it is called.
+// allocateLeases answers lease requests while this voter leads in a term.
 func (v *Voter) allocateLeases(ctx context.Context, run *raftRun, term uint64) {
 	if v.c.Limits == nil {
 		return
@@ -161,7 +165,7 @@
 	}
 }
 
-// gather waits for questions; none where the reign is over.
+// nextBatch waits for requests and returns those that arrive within batchWindow, or none if the leadership has ended.
 func (v *Voter) nextBatch(ctx context.Context) (batch []*leaseRequest) {
 	var windowEnd <-chan time.Time
 	for len(batch) < maxBatch {
@@ -183,18 +187,20 @@
 	return batch
 }
 
-// divider proves that a reign still lasts. It asks a majority of voters for their terms: who has not voted in a later term when it is
-// asked has elected nobody else by then. raft's VerifyLeader does not do: an answer that was on its way, or lay unread while this
-// process stood still, to a heartbeat from before the call counts for it.
+// leadershipProver proves that this voter still leads in its term. It asks a majority of voters for their current terms: a
+// voter without a later term has not helped to elect another leader by then. raft's VerifyLeader is not enough, because it
+// also counts responses to heartbeats sent before the call, which may have been in transit or unread while this process
+// was suspended.
 type leadershipProver struct {
 	v        *Voter
 	run      *raftRun
 	term     uint64
 	calls    sync.WaitGroup
 	mu       sync.Mutex
-	inFlight map[raft.ServerID]bool // asked, and not answered yet
+	inFlight map[raft.ServerID]bool // voters with an unanswered request
 }
 
+// prove returns nil once a majority, including this voter, has confirmed the term.
 func (prover *leadershipProver) prove(ctx context.Context) error {
 	var others []raft.Server
 	voters, own := 0, prover.v.identity()
@@ -218,7 +224,7 @@
 			return nil
 		}
 		if outstanding == 0 {
-			return errors.New("no majority says that this voter leads")
+			return errors.New("no majority confirms that this voter is the leader")
 		}
 		select {
 		case granted := <-votes:
@@ -231,7 +237,7 @@
 	}
 }
 
-// ask asks one voter, unless an earlier question to it is not answered yet.
+// askTerm asks one voter for its term, unless an earlier request to it is still unanswered. It sends exactly one vote.
 func (prover *leadershipProver) askTerm(s raft.Server, votes chan<- bool) {
 	prover.mu.Lock()
 	defer prover.mu.Unlock()
@@ -255,17 +261,17 @@
 	}()
 }
 
-// termed is what a voter answers to GET /v1/term.
+// termReply is the response body of GET /v1/term.
 type termReply struct {
 	Cluster  string `json:"cluster"`
 	Identity string `json:"identity"`
-	Term     uint64 `json:"term"` // when the question had come
+	Term     uint64 `json:"term"` // when the request had arrived
 }
 
 func (v *Voter) serveTerm(w http.ResponseWriter, _ *http.Request) {
 	run, err := v.currentRun(), v.failure()
 	if run == nil || err != nil {
-		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter takes no part in a cluster now"})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter does not run raft at present"})
 		return
 	}
 	writeJSON(w, http.StatusOK, termReply{run.cluster, v.identity(), run.raft.CurrentTerm()})
--- a/internal/cluster/voter/lease_metrics.go
+++ b/internal/cluster/voter/lease_metrics.go
@@ -8,10 +8,10 @@
 	"burlpass/internal/lease"
 )
 
-// mostFigures is how many limits are told of.
+// maxReportedLimits is the maximum number of limits in the metrics.
 const maxReportedLimits = 32
 
-// leaseFigures are a divider's. They are a prometheus.Collector.
+// leaseMetrics collects the metrics of the lease requests answered by this voter. It implements prometheus.Collector.
 type leaseMetrics struct {
 	asked, refused             prometheus.Counter
 	amount, out, want, holding *prometheus.Desc
@@ -37,16 +37,17 @@
 	}
 }
 
+// set replaces the reported limits and number of holders.
 func (f *leaseMetrics) set(limits []lease.Figure, holders int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.limits, f.holders = limits, holders
 }
 
-// LeaseMetrics are this voter's figures of leases.
+// LeaseMetrics returns the metrics of the leases that this voter grants as the leader.
 func (v *Voter) LeaseMetrics() prometheus.Collector { return v.leases.metrics }
 
-// Describe is a prometheus.Collector's.
+// Describe implements prometheus.Collector.
 func (f *leaseMetrics) Describe(to chan<- *prometheus.Desc) {
 	f.asked.Describe(to)
 	f.refused.Describe(to)
@@ -55,7 +56,7 @@
 	}
 }
 
-// Collect is a prometheus.Collector's.
+// Collect implements prometheus.Collector.
 func (f *leaseMetrics) Collect(to chan<- prometheus.Metric) {
 	f.asked.Collect(to)
 	f.refused.Collect(to)
--- a/internal/cluster/voter/logs.go
+++ b/internal/cluster/voter/logs.go
@@ -10,12 +10,12 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// sparse writes lines that others can bring about without end: one of a kind in a while.
+// throttledLog writes log lines that remote events can cause without limit: identical lines at most once per repeatInterval.
 type throttledLog struct {
 	log *slog.Logger
 
 	mu   sync.Mutex
-	last map[string]time.Time // by event and what tells its lines apart
+	last map[string]time.Time // last write by kind: the event and what distinguishes its lines
 }
 
 const (
@@ -27,6 +27,7 @@
 	return &throttledLog{log: log, last: map[string]time.Time{}}
 }
 
+// due reports whether a line of this kind may be written now, and if so counts it as written.
 func (s *throttledLog) due(kind string) bool {
 	now := time.Now()
 	s.mu.Lock()
@@ -41,14 +42,15 @@
 	return true
 }
 
-// warn writes a line unless the same one was written lately.
+// warn writes a warning unless the same line was written recently.
 func (s *throttledLog) warn(event string, args ...any) {
 	if s.due(fmt.Sprint(event, args)) {
 		s.log.Warn(event, args...)
 	}
 }
 
-// raftLog takes over what raft logs: its warnings sparsely, by their text, and the rest for debugging.
+// raftLogSink receives raft's log lines. It throttles warnings and errors by their text and writes everything else at debug
+// level.
 type raftLogSink struct{ throttled *throttledLog }
 
 func newRaftLog(throttled *throttledLog) hclog.Logger {
--- a/internal/cluster/voter/patient.go
+++ b/internal/cluster/voter/patient.go
@@ -9,18 +9,18 @@
 	"burlpass/internal/cluster/voter/link"
 )
 
-// patient is raft's transport, but for what a leader does about a follower that does not answer. raft tries again after a time
-// that doubles with each failure, up to 10 s: a follower that was away for half a minute would hear of no entry for so long
-// after it is back. Here heartbeats are tried again each beat, and entries wait until one was answered.
+// retryTransport is raft's transport with other retries for a follower that does not answer. raft doubles its delay with each
+// failure, up to 10 s, so a follower that was away for half a minute would get no entries for that long after its return.
+// Here heartbeats are retried at a fixed interval, and a failed request with entries returns once a heartbeat was answered.
 type retryTransport struct {
 	link.Transport
 	send       func(raft.ServerID, raft.ServerAddress, *raft.AppendEntriesRequest, *raft.AppendEntriesResponse) error
 	interval   time.Duration
-	replicates func(id raft.ServerID, term uint64) bool // this voter leads in that term, and its configuration has that follower
+	replicates func(id raft.ServerID, term uint64) bool // this voter leads in the term, and its configuration has the follower
 	done       chan struct{}
 
 	mu      sync.Mutex
-	waiters map[raft.ServerID]chan struct{} // closed once a heartbeat is answered
+	waiters map[raft.ServerID]chan struct{} // closed when a heartbeat is answered
 	closed  bool
 }
 
@@ -29,9 +29,10 @@
 		done: make(chan struct{}), waiters: map[raft.ServerID]chan struct{}{}}
 }
 
-// AppendEntries implements raft.Transport. Of a follower that does not answer the error comes when it does again, or when
-// there is no use in waiting.
-func (p *retryTransport) AppendEntries(id raft.ServerID, target raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) error {
+// AppendEntries implements raft.Transport. If the follower does not answer, the error is returned only once it answers again,
+// or when this voter no longer replicates to it.
+func (p *retryTransport) AppendEntries(id raft.ServerID, target raft.ServerAddress, request *raft.AppendEntriesRequest,
+	response *raft.AppendEntriesResponse) error {
 	if request.LeaderCommitIndex > 0 || len(request.Entries) > 0 {
 		err := p.send(id, target, request, response)
 		for err != nil && p.replicates(id, request.Term) && !p.waitHeartbeat(id) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// answered waits for the next answered heartbeat, for a beat.
+// waitHeartbeat waits up to one interval for an answered heartbeat. It also returns true when the transport is closed.
 func (p *retryTransport) waitHeartbeat(id raft.ServerID) bool {
 	p.mu.Lock()
 	wait, ok := p.waiters[id]
@@ -70,6 +71,7 @@
 	return true
 }
 
+// heartbeatAnswered wakes the requests that wait for a heartbeat of this follower.
 func (p *retryTransport) heartbeatAnswered(id raft.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +81,7 @@
 	}
 }
 
-// pause is false once this is closed.
+// sleep waits for one interval. It returns false if the transport is closed.
 func (p *retryTransport) sleep() bool {
 	timer := time.NewTimer(p.interval)
 	defer timer.Stop()
--- a/internal/cluster/voter/peers.go
+++ b/internal/cluster/voter/peers.go
@@ -15,10 +15,10 @@
 
 const (
 	maxBodyBytes    = 4 << 20
-	forwardedHeader = "Burlpass-Handed-On" // set on a call that another voter hands on
+	forwardedHeader = "Burlpass-Handed-On" // set on a call that another voter forwards
 )
 
-// peers makes the calls to other voters that are not raft's own.
+// peers makes the HTTP calls to other voters that are not part of raft's protocol.
 type peers struct {
 	c         *Config
 	transport *http.Transport
@@ -34,11 +34,11 @@
 
 func (p *peers) close() { p.transport.CloseIdleConnections() }
 
-// refusal is the body of an answer other than 200.
+// refusal is the body of a response with a status other than 200.
 type refusal struct {
 	Refused string `json:"refused,omitempty"`
 	Unknown string `json:"unknown,omitempty"`
-	State   bool   `json:"state,omitempty"` // to a claim: this voter's disk holds state already
+	State   bool   `json:"state,omitempty"` // response to a claim: this voter's disk already holds state
 	status  int
 }
 
@@ -49,19 +49,20 @@
 	return r.Refused
 }
 
-// errUnsent says that a call was surely not made.
+// errNotSent means that a request was certainly not sent.
 var errNotSent = errors.New("no connection")
 
-// call asks a voter. The error is a *refusal where the other side has answered with one, and errUnsent where it was surely
-// not asked.
+// call sends a request to a voter. The error is a *refusal if the voter answered with one, and errNotSent if the request was
+// certainly not sent.
 func (p *peers) call(ctx context.Context, name, method, path string, in, out any) error {
 	return p.forward(ctx, name, method, path, in, out, false)
 }
 
+// forward is call, with a header that marks a forwarded request if forwarded is set.
 func (p *peers) forward(ctx context.Context, name, method, path string, in, out any, forwarded bool) error {
 	addr := p.c.address(name)
 	if addr == "" {
-		return fmt.Errorf("%w: %q is no voter of the configuration", errNotSent, name)
+		return fmt.Errorf("%w: %q is not a configured voter", errNotSent, name)
 	}
 	var body io.Reader
 	if in != nil {
@@ -110,7 +111,7 @@
 
 func writeRefusal(w http.ResponseWriter, status int, r refusal) { writeJSON(w, status, r) }
 
-// decode reads a call's body; false where it has been refused.
+// decodeBody decodes a request's body. If that fails it writes the error response and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, to any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err := d.Decode(to); err != nil {
--- a/internal/cluster/voter/place.go
+++ b/internal/cluster/voter/place.go
@@ -12,24 +12,24 @@
 	"burlpass/internal/cluster/voter/link"
 )
 
-// A voter that was replaced and comes back with its old disk hears of no leader and is asked by nobody: it counts for nothing,
-// and by raft alone would never know why. So a voter that has had its vote and knows of no leader asks who has its name.
+// A voter that was replaced and returns with its old disk is contacted by nobody, and raft alone would never tell it why. So a
+// voter that has had a vote and knows no leader asks the others which identity has its name.
 
-// asked is the body of POST /v1/holder.
+// holderRequest is the body of POST /v1/holder.
 type holderRequest struct {
 	Name     string `json:"name"`
 	Identity string `json:"identity"`
 }
 
-// stands is its answer, by a configuration that is committed.
+// holderReply is the response body of POST /v1/holder. It describes a committed configuration.
 type holderReply struct {
 	Cluster  string `json:"cluster"`
-	Votes    bool   `json:"votes"`            // the identity that was asked for
-	IsMember bool   `json:"listed,omitempty"` // it is a member, with a vote or without
-	Holder   string `json:"holder,omitempty"` // the identity that has the name; "" for none
+	Votes    bool   `json:"votes"`            // the identity in the request has a vote
+	IsMember bool   `json:"listed,omitempty"` // the identity in the request is a member, with or without a vote
+	Holder   string `json:"holder,omitempty"` // another identity that has the name; "" for none
 }
 
-// watchPlace asks, for as long as the voter is open, whenever no leader is known.
+// watchIdentity checks regularly, while no leader is known, whether this voter's identity has been replaced.
 func (v *Voter) watchIdentity(ctx context.Context) {
 	ticker := time.NewTicker(v.c.Timings.CallTimeout)
 	defer ticker.Stop()
@@ -49,7 +49,7 @@
 	}
 }
 
-// askPlace asks one voter after another until the leader's answer is there. Another one's would not do: it may be behind.
+// checkIdentity asks one voter after another until one returns the leader's answer. A follower's own state could be outdated.
 func (v *Voter) checkIdentity(ctx context.Context) {
 	id := v.disk.Identity()
 	for _, p := range v.c.Voters {
@@ -65,7 +65,7 @@
 			continue
 		case reply.Cluster != id.Cluster:
 			v.throttled.warn("cluster_another", "voter", v.c.Name, "asked", p.Name, "why",
-				fmt.Sprintf("it is of the cluster %s, and the disk here of %s", reply.Cluster, id.Cluster))
+				fmt.Sprintf("it belongs to cluster %s, and this disk to %s", reply.Cluster, id.Cluster))
 			continue
 		case reply.Votes:
 			return
@@ -75,7 +75,7 @@
 	}
 }
 
-// serveHolder tells who has a voter's name, or hands the call on to the leader.
+// serveHolder reports which identity has a voter's name, or forwards the request to the leader.
 func (v *Voter) serveHolder(w http.ResponseWriter, r *http.Request) {
 	var request holderRequest
 	if !decodeBody(w, r, &request) {
@@ -88,7 +88,7 @@
 	var err error
 	switch {
 	case run == nil || leader == "":
-		err = errors.New("no leader is known here")
+		err = errors.New("this voter knows no leader")
 	case leader == v.c.Name:
 		reply, err = v.lookUpHolder(ctx, run, request)
 	case r.Header.Get(forwardedHeader) != "":
@@ -103,8 +103,8 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// place looks at the configuration of a voter that leads. Raft tells the latest one, which may never be committed; what stands
-// in the log before a barrier is.
+// lookUpHolder looks up an identity in the configuration of this leader. raft returns the latest configuration, which might
+// never be committed; the barrier makes sure that it is.
 func (v *Voter) lookUpHolder(ctx context.Context, run *raftRun, request holderRequest) (holderReply, error) {
 	if err := v.verifyLeader(ctx, run); err != nil {
 		return holderReply{}, err
--- a/internal/cluster/voter/read.go
+++ b/internal/cluster/voter/read.go
@@ -9,8 +9,8 @@
 	"burlpass/internal/record"
 )
 
-// Read gives this voter's own state. A consistent one asks the leader which version holds every write that was acknowledged
-// before, and waits until that one is here.
+// Read returns this voter's own state and its age. A consistent read asks the leader for a version that includes every write
+// acknowledged before, and waits until that version is applied here.
 func (v *Voter) Read(ctx context.Context, consistent bool) (record.View, time.Duration, error) {
 	if err := v.failure(); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", api.ErrRefused, err)
@@ -20,7 +20,7 @@
 		if r == nil {
 			return nil, 0, api.ErrNothing
 		}
-		age := v.fsm.age() // before the view: it may be newer than that, not older
+		age := v.fsm.age() // before the view, which may be newer than the age says but not older
 		return r.View(), age, nil
 	}
 	began := time.Now()
@@ -36,12 +36,12 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, 0, fmt.Errorf("%w: waiting for version %d here: %w", api.ErrRefused, index.Version, ctx.Err())
+			return nil, 0, fmt.Errorf("%w: waiting for version %d: %w", api.ErrRefused, index.Version, ctx.Err())
 		}
 	}
 }
 
-// waitIndex asks for a read index again while there is patience.
+// awaitReadIndex requests a read index, and retries for up to LeaderWait.
 func (v *Voter) awaitReadIndex(ctx context.Context) (readIndexReply, error) {
 	waitCtx, cancel := context.WithTimeout(ctx, v.c.Timings.LeaderWait)
 	defer cancel()
--- a/internal/cluster/voter/replaced.go
+++ b/internal/cluster/voter/replaced.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// membership is the newest configuration in a disk's log or snapshot that lists the disk's identity. A voter that asks to be
-// taken in sends it, so that the leader can tell an identity that was taken out from one that never was a member: only the
-// first may not come in again, since another identity may have its name.
+// membership identifies the newest configuration in a disk's log or snapshot that lists the disk's identity. A joining voter
+// sends it, so that the leader can tell an identity that was removed from one that never was a member. Only a removed
+// identity must not join again, because another identity may have its name.
 type membership struct {
 	Index     uint64 `json:"index"`
-	Term      uint64 `json:"term,omitempty"`      // of the entry; 0 where it is known by a snapshot only
-	Committed bool   `json:"committed,omitempty"` // a snapshot has it, and snapshots hold nothing else
+	Term      uint64 `json:"term,omitempty"`      // of the log entry; 0 if only a snapshot has the configuration
+	Committed bool   `json:"committed,omitempty"` // known from a snapshot, which holds only committed state
 }
 
-// lastMembership reads it from the log, or from the newest snapshot where the log has none; nil for none. snapshot may be nil.
-// Its errors are the log's.
+// lastMembership finds the membership of an identity in the log, or in the newest snapshot if the log has none. It returns nil
+// if there is none. snapshot may be nil. Errors come from reading the log.
 func lastMembership(log raft.LogStore, snapshot *raft.SnapshotMeta, identity string) (*membership, error) {
 	first, err := log.FirstIndex()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return nil, nil
 }
 
-// readMembership is lastMembership of this voter's disk.
+// readMembership returns the last membership of this voter's disk.
 func (v *Voter) readMembership() (*membership, error) {
 	snapshots, err := v.disk.Snapshots.List()
 	if err != nil {
@@ -59,9 +59,10 @@
 	return lastMembership(v.disk.Store, newest, v.identity())
 }
 
-// wasCommitted tells, by the log of a leader all of whose entries up to its barrier are committed, whether a configuration
-// was. Where the leader's log begins after it, it counts as committed: an operator can empty the folder of an identity that
-// is refused wrongly, and nothing mends a machine displaced by an older disk. Its errors are the log's.
+// wasCommitted reports whether a configuration was committed, according to the log of a leader whose entries up to a barrier
+// are all committed. If the leader's log begins after the configuration, it counts as committed: an operator can empty the
+// folder of an identity that is refused wrongly, but cannot repair a voter displaced by an older disk. Errors come from
+// reading the log.
 func wasCommitted(log raft.LogStore, m *membership) (bool, error) {
 	if m.Committed {
 		return true, nil
@@ -81,8 +82,8 @@
 	return err == nil && entry.Term == m.Term, err
 }
 
-// takenOut tells whether an entrant was a member before and is none by what is committed now, and which identity has its name
-// ("" for none). Its errors are those of place and of the disk.
+// wasRemoved reports whether a joining identity was a member before and is none in the committed configuration, and which
+// identity has its name now ("" for none).
 func (v *Voter) wasRemoved(ctx context.Context, run *raftRun, request joinRequest) (removed bool, holder string, err error) {
 	if request.Member == nil {
 		return false, "", nil
@@ -98,12 +99,12 @@
 	return removed, current.Holder, err
 }
 
-// replaced ends this voter's part: its identity was taken out, and another may have its name.
+// failReplaced stops this voter because its identity was removed from the cluster, and another one may have its name.
 func (v *Voter) failReplaced(identity, holder string) {
 	by := "nobody"
 	if holder != "" {
 		by = "the identity " + holder
 	}
 	v.failWith("cluster_replaced_elsewhere", fmt.Errorf("%s: the identity %s was taken out of the cluster, and %s has the name %q now: "+
-		"this voter counts for nothing; empty the folder and restart it, so that it joins anew, or leave it down", v.c.Folder, identity, by, v.c.Name))
+		"this voter has no vote; empty the folder and restart it to join again, or leave it stopped", v.c.Folder, identity, by, v.c.Name))
 }
--- a/internal/cluster/voter/start.go
+++ b/internal/cluster/voter/start.go
@@ -12,7 +12,7 @@
 	"burlpass/internal/cluster/voter/link"
 )
 
-// running is one start of raft.
+// raftRun is a running instance of raft, with its connections.
 type raftRun struct {
 	cluster   string
 	raft      *raft.Raft
@@ -22,9 +22,9 @@
 	done      chan struct{}
 }
 
-const logCacheEntries = 1024 // entries of the log that are kept in memory
+const logCacheEntries = 1024 // log entries kept in memory
 
-// start runs raft on the disk. With a configuration it forms the cluster first. It is called under starts.
+// startRaft runs raft on the disk. If an initial configuration is given, it forms the cluster first. The caller holds startMu.
 func (v *Voter) startRaft(initial *raft.Configuration) error {
 	if err := v.failure(); err != nil {
 		return err
@@ -32,7 +32,8 @@
 	log := newRaftLog(v.throttled)
 	id := v.disk.Identity()
 	run := &raftRun{cluster: id.Cluster, done: make(chan struct{})}
-	run.layer = link.New(link.Config{Cluster: id.Cluster, Name: v.c.Name, Identity: id.Identity, Address: v.c.address, Dial: v.c.Dial, OnRefused: v.logRefusedLink})
+	run.layer = link.New(link.Config{Cluster: id.Cluster, Name: v.c.Name, Identity: id.Identity,
+		Address: v.c.address, Dial: v.c.Dial, OnRefused: v.logRefusedLink})
 	run.transport = newRetryTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: run.layer, MaxPool: 3, Timeout: v.c.Timings.CallTimeout, Logger: log,
 	}), v.c.Timings.HeartbeatInterval, func(id raft.ServerID, term uint64) bool { return v.currentRun() == run && run.replicatesTo(id, term) })
@@ -62,7 +63,7 @@
 	})
 	if err != nil {
 		run.transport.Close()
-		return fmt.Errorf("%w: %s: raft does not start: %w", disk.ErrDamaged, v.c.Folder, err)
+		return fmt.Errorf("%w: %s: cannot start raft: %w", disk.ErrDamaged, v.c.Folder, err)
 	}
 	v.fsm.started()
 	observations := make(chan raft.Observation, 64)
@@ -83,13 +84,14 @@
 	return nil
 }
 
-// follows tells whether this voter leads in a term, and is to send a voter what it has.
+// replicatesTo reports whether this voter leads in a term and its configuration has the given server.
 func (run *raftRun) replicatesTo(id raft.ServerID, term uint64) bool {
 	return run.raft.State() == raft.Leader && run.raft.CurrentTerm() == term && isMember(run.raft.GetConfiguration().Configuration(), id)
 }
 
-// beats sets how often this voter's heartbeats go out while it leads. raft sends them each one to two tenths of the time without
-// any after which its own node would ask for an election: a leader, which waits for none, gets a longer one than a follower.
+// setHeartbeat sets how often this voter sends heartbeats while it leads. raft derives that from its own node's heartbeat
+// timeout: it sends one every one to two tenths of it. A leader does not wait for heartbeats, so it gets a longer timeout than
+// a follower.
 func (run *raftRun) setHeartbeat(t Timings, isLeader bool) error {
 	c := run.raft.ReloadableConfig()
 	c.HeartbeatTimeout, c.ElectionTimeout = t.Heartbeat, t.Election
@@ -100,8 +102,8 @@
 	return run.raft.ReloadConfig(c)
 }
 
-// watchDisk has a leader go silent while a write to its disk hangs: raft's heartbeats do not wait for the disk, so the others
-// would follow a leader that can agree on nothing.
+// watchDisk closes a leader's connections while a write to its disk hangs. raft's heartbeats do not wait for the disk, so the
+// others would keep following a leader that cannot commit anything.
 func (v *Voter) watchDisk(run *raftRun) {
 	ticker := time.NewTicker(v.c.Timings.DiskStall / 8)
 	defer ticker.Stop()
@@ -124,8 +126,8 @@
 	}
 }
 
-// bootstrap writes what raft.BootstrapCluster does, but the term last: a crash in between would leave a term without an
-// entry there, which is a voter that can neither form nor join.
+// bootstrap writes the same as raft.BootstrapCluster, but the term last. raft writes it first, and a crash in between leaves
+// a term without an entry: a voter that can neither form nor join a cluster.
 func (v *Voter) bootstrap(c raft.Configuration) error {
 	entry := &raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(c), AppendedAt: time.Now()}
 	if err := v.disk.Store.StoreLog(entry); err != nil {
@@ -134,7 +136,7 @@
 	return v.disk.Store.SetUint64([]byte("CurrentTerm"), 1)
 }
 
-// guarded runs f where it may panic or end its goroutine: both are errors.
+// guarded runs f in a goroutine of its own, and returns an error if f panics or ends the goroutine.
 func guarded(f func() error) error {
 	err := fmt.Errorf("the disk has failed")
 	done := make(chan struct{})
@@ -151,7 +153,7 @@
 	return err
 }
 
-// stop ends raft if it runs, and waits for it. It is called under starts.
+// stopRaft stops raft if it is running, and waits for its end. The caller holds startMu.
 func (v *Voter) stopRaft() {
 	run := v.currentRun()
 	if run == nil {
@@ -160,7 +162,7 @@
 	run.raft.DeregisterObserver(run.observer)
 	ended := run.raft.Shutdown()
 	run.transport.CloseStreams()
-	run.transport.Close() // and the layer: this also ends the calls that raft waits for
+	run.transport.Close() // also closes the layer, which ends the calls that raft waits for
 	_ = ended.Error()
 	close(run.done)
 	v.mu.Lock()
@@ -169,8 +171,8 @@
 	v.mu.Unlock()
 }
 
-// stateless tells whether the disk has never held a term, a vote or an entry, with raft stopped if need be: it must not begin
-// to hold one meanwhile. It is called under starts.
+// stopIfStateless reports whether the disk has never held a term, a vote or an entry. In that case it also stops raft, so that
+// the answer stays true. The caller holds startMu.
 func (v *Voter) stopIfStateless() (bool, error) {
 	var state bool
 	check := func() (err error) { state, err = v.disk.HasState(); return err }
@@ -184,8 +186,8 @@
 	return !state, nil
 }
 
-// belong keeps the cluster's id and starts raft. It answers false where the disk holds state already, of the cluster that it
-// was of before. It is called under starts.
+// joinCluster stores the cluster's id and starts raft. It returns false, and keeps the id, if the disk already holds state of
+// the cluster it belongs to. The caller holds startMu.
 func (v *Voter) joinCluster(cluster string, initial *raft.Configuration) (bool, error) {
 	if err := v.failure(); err != nil {
 		return false, err
@@ -212,7 +214,7 @@
 	return stateless, err
 }
 
-// refused logs a connection that was refused, once in a while.
+// logRefusedLink logs a refused connection, throttled.
 func (v *Voter) logRefusedLink(by, of, reason string) {
 	v.throttled.warn("cluster_link_refused", "by", by, "of", of, "why", reason)
 }
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -17,7 +17,7 @@
 	"burlpass/internal/record"
 )
 
-// Voter is one voter's part in the cluster. It implements api.Member.
+// Voter is a cluster member with a vote. It implements api.Member.
 type Voter struct {
 	c         Config
 	log       *slog.Logger
@@ -28,35 +28,37 @@
 	clock     *clockHistory
 	leases    *leases
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	tasks      sync.WaitGroup
-	membership *membership // that the disk knew of when this voter was opened; nil for none
+	membership *membership // known to the disk when this voter was opened; nil for none
 
 	startMu sync.Mutex // held while raft is started or stopped, or the cluster's id is set
-	admitMu sync.Mutex // held by the leader for one step of taking a voter in
+	admitMu sync.Mutex // held by the leader during one step of adding a voter
 
 	mu           sync.Mutex
 	run          *raftRun // nil while raft does not run
-	readyTerm    uint64   // the term in which this voter, leading, has applied all that was committed before; 0 for none
+	readyTerm    uint64   // term in which this leader has applied everything committed before; 0 for none
 	fault        string
-	joining      bool // forming or asking to be taken in
+	joining      bool // forming or joining the cluster
 	closing      bool
-	pending      int           // futures of raft that are not answered yet
-	changed      chan struct{} // closed at the next change of what stands above, or of the leader
-	loggedLeader string        // the leader that was last logged
+	pending      int           // raft futures that are not answered yet
+	changed      chan struct{} // closed at the next change of the fields above or of the leader
+	loggedLeader string        // identity of the leader logged last
 	joinAttempts map[string]joinAttempt
 }
 
 var _ api.Member = (*Voter)(nil)
 
-// Open starts a voter on its folder, and returns without waiting for the others. An error is one of the configuration or of
-// the folder's belonging. A damaged disk is none: the voter is there, its state is failed, and it takes no part.
+// Open starts a voter on its folder, and returns without waiting for the others. It fails if the configuration is invalid or
+// the folder is unusable or belongs to another voter. A damaged disk is not an error: the voter is returned in state
+// "failed" and does not take part in consensus.
 func Open(ctx context.Context, c Config) (*Voter, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	v := &Voter{c: c, log: c.Log, throttled: newThrottledLog(c.Log), clock: &clockHistory{}, leases: newLeases(), changed: make(chan struct{}), joinAttempts: map[string]joinAttempt{}}
+	v := &Voter{c: c, log: c.Log, throttled: newThrottledLog(c.Log), clock: &clockHistory{}, leases: newLeases(),
+		changed: make(chan struct{}), joinAttempts: map[string]joinAttempt{}}
 	v.ctx, v.cancel = context.WithCancel(context.Background())
 	v.peers = newPeers(&v.c)
 	var err error
@@ -78,7 +80,7 @@
 	return v, nil
 }
 
-// begin looks at what the disk holds, and starts what follows from it.
+// resume checks what the disk holds, and starts raft and the background tasks accordingly.
 func (v *Voter) resume(ctx context.Context) error {
 	stored, err := v.disk.Check()
 	if err != nil {
@@ -94,7 +96,7 @@
 	v.fsm.setStored(stored)
 	id := v.disk.Identity()
 	if hasState && id.Cluster == "" {
-		return errors.New(v.c.Folder + ": a log without a cluster's id: empty the folder, so that this voter joins anew")
+		return errors.New(v.c.Folder + ": a log without a cluster id: empty the folder, so that this voter joins again")
 	}
 	if hasState && !id.Voted {
 		if v.membership, err = v.readMembership(); err != nil {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// task runs something for as long as the voter is open.
+// spawn runs f in a goroutine, with a context that lasts until Close.
 func (v *Voter) spawn(f func(ctx context.Context)) {
 	v.tasks.Add(1)
 	go func() {
@@ -127,7 +129,7 @@
 
 func (v *Voter) identity() string { return v.disk.Identity().Identity }
 
-// Mount puts the calls between voters on the cluster's address.
+// Mount registers the handlers of the calls between voters.
 func (v *Voter) Mount(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+link.Path, v.serveRaft)
 	mux.HandleFunc("POST /v1/claim", v.serveClaim)
@@ -145,22 +147,23 @@
 		run.layer.ServeHTTP(w, r)
 		return
 	}
-	http.Error(w, "this voter takes no part in a cluster now", http.StatusMisdirectedRequest)
+	http.Error(w, "this voter does not run raft at present", http.StatusMisdirectedRequest)
 }
 
-// note wakes whoever waits for a change. It is called under mu.
+// notifyChanged wakes all goroutines that wait for a change. The caller holds mu.
 func (v *Voter) notifyChanged() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
+// currentRun returns the running raft instance, or nil if raft does not run.
 func (v *Voter) currentRun() *raftRun {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.run
 }
 
-// Replica is nil while there is no state to show. Of a voter that has failed it stays what it was, and ages.
+// Replica returns the voter's state, or nil while there is none to show. After a failure it still returns the last state.
 func (v *Voter) Replica() *replica.Replica {
 	if !v.fsm.isVisible() {
 		return nil
@@ -168,7 +171,7 @@
 	return v.fsm.replica
 }
 
-// Status says who and where this voter is.
+// Status returns this voter's identity, its role and the state that it shows.
 func (v *Voter) Status() api.Status {
 	id := v.disk.Identity()
 	s := api.Status{Cluster: id.Cluster, Name: v.c.Name, Role: "voter", Identity: id.Identity, AgeMs: -1, Path: []string{v.c.Name}}
@@ -195,7 +198,7 @@
 		}
 	}
 	if r := v.Replica(); r != nil {
-		age, view := v.fsm.age(), r.View() // in this order: the state may be newer than that, not older
+		age, view := v.fsm.age(), r.View() // in this order: the view may be newer than the age says, but not older
 		s.Version, s.Hash, s.AgeMs = uint64(view.Version()), view.Hash(), api.Ms(age)
 	}
 	return s
@@ -211,10 +214,10 @@
 	return "follower"
 }
 
-const closeTimeout = 2 * time.Second // for what is under way
+const closeTimeout = 2 * time.Second // how long Close waits for pending raft operations
 
-// Close hands a leadership on, ends what is under way and gives the folder free. Writes that are not answered by then are
-// ErrUnknown.
+// Close transfers leadership if this voter leads, stops raft and all tasks, and releases the folder. Writes that are not
+// answered by then fail with ErrUnknown.
 func (v *Voter) Close() error {
 	v.mu.Lock()
 	if v.closing {
@@ -240,11 +243,11 @@
 	return v.disk.Close()
 }
 
-// fail ends this voter's part in consensus: what its disk says can no longer be trusted, or it takes no more. It may be called
-// from raft's own goroutines, and does not wait for them.
+// fail ends this voter's part in consensus, because its disk can no longer be trusted or written. It may be called from raft's
+// own goroutines, and does not wait for them.
 func (v *Voter) fail(err error) { v.failWith("cluster_disk", err) }
 
-// end is fail, logged as another event.
+// failWith is fail with the event to be logged.
 func (v *Voter) failWith(event string, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -264,7 +267,7 @@
 	}
 }
 
-// failed gives the fault as an error.
+// failure returns an error if this voter has failed or is closing.
 func (v *Voter) failure() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -277,8 +280,8 @@
 	return nil
 }
 
-// await waits for a future of raft, which itself knows no context. While it is open raft is not shut down, if it can be
-// helped: raft forgets some futures then.
+// await waits for a raft future, since futures have no context. Raft's shutdown waits for pending futures, within limits,
+// because raft never answers some of them afterwards.
 func (v *Voter) await(ctx context.Context, f raft.Future) error {
 	v.mu.Lock()
 	v.pending++
@@ -301,7 +304,7 @@
 	}
 }
 
-// drain waits until no future is open, but not for ever.
+// drain waits until no future is pending, but at most for the given time.
 func (v *Voter) drain(limit time.Duration) {
 	timeout := time.After(limit)
 	for {
--- a/internal/cluster/voter/write.go
+++ b/internal/cluster/voter/write.go
@@ -13,11 +13,11 @@
 	"burlpass/internal/record"
 )
 
-// pause is between two tries of what has surely not been taken.
+// retryInterval is the delay before a request that was certainly not accepted is retried.
 const retryInterval = 20 * time.Millisecond
 
-// Write has the leader propose a write. What surely was not taken is tried again while there is patience: a new leader may
-// be about to be elected.
+// Write has the leader propose a write. A write that was certainly not accepted is retried for up to LeaderWait, because a new
+// leader may be about to be elected.
 func (v *Voter) Write(ctx context.Context, w *record.Write) (record.Result, error) {
 	raw, err := record.Encode(&record.Entry{Write: w})
 	if err != nil {
@@ -36,7 +36,7 @@
 		var result record.Result
 		switch {
 		case leader == "":
-			err = fmt.Errorf("%w: no leader is known here", api.ErrRefused)
+			err = fmt.Errorf("%w: this voter knows no leader", api.ErrRefused)
 		case leader == v.c.Name:
 			result, err = v.propose(ctx, run, raw)
 		default:
@@ -46,7 +46,7 @@
 			return result, err
 		}
 		wait := changed
-		if leader != "" { // it was asked, and there may be no change to hear of
+		if leader != "" { // the leader has answered, and there may be no change to wait for
 			wait = nil
 		}
 		select {
@@ -58,7 +58,8 @@
 	}
 }
 
-// propose has this leader's raft agree on an entry. The error is ErrRefused only where raft cannot have appended it.
+// propose appends an entry through this leader's raft and waits until it is applied. The error is ErrRefused only if raft
+// cannot have appended it.
 func (v *Voter) propose(ctx context.Context, run *raftRun, raw []byte) (record.Result, error) {
 	if err := v.failure(); err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrRefused, err)
@@ -76,7 +77,7 @@
 	case err == nil:
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout):
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrRefused, err)
-	default: // lost leadership, a shutdown, a store that failed, the end of ctx: it may have been appended
+	default: // lost leadership, a shutdown, a failed store or the end of ctx: the entry may have been appended
 		return record.Result{}, fmt.Errorf("%w: %w", api.ErrUnknown, err)
 	}
 	a, ok := f.Response().(applyResult)
@@ -86,12 +87,13 @@
 	return a.result, nil
 }
 
-// proposal is the body of POST /v1/propose: a write that another voter hands on to the leader.
+// proposal is the body of POST /v1/propose: a write that another voter forwards to the leader.
 type proposal struct {
 	Cluster string        `json:"cluster"`
 	Write   *record.Write `json:"write"`
 }
 
+// forwardWrite sends a write to the leader. The error is ErrRefused only if the leader certainly did not accept the write.
 func (v *Voter) forwardWrite(ctx context.Context, leader string, p proposal) (result record.Result, err error) {
 	err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/propose", p, &result, true)
 	var refused *refusal
@@ -99,14 +101,14 @@
 	case err == nil && result.ID == p.Write.ID && result.Outcome != "":
 		return result, nil
 	case err == nil:
-		err = errors.New("an answer that is no result")
+		err = errors.New("the response is not a result of this write")
 	case errors.Is(err, errNotSent), errors.As(err, &refused) && refused.Refused != "" && refused.Unknown == "":
 		return record.Result{}, fmt.Errorf("%w: %s: %w", api.ErrRefused, leader, err)
 	}
 	return record.Result{}, fmt.Errorf("%w: %s: %w", api.ErrUnknown, leader, err)
 }
 
-const proposeTimeout = 30 * time.Second // the caller's own time ends the call before
+const proposeTimeout = 30 * time.Second // upper bound; the caller's deadline usually ends the call earlier
 
 func (v *Voter) servePropose(w http.ResponseWriter, r *http.Request) {
 	var p proposal
