--- a/internal/cluster/voter/disk/disk_test.go
+++ b/internal/cluster/voter/disk/disk_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if l.Extensions != nil {
-			t.Fatal("the entry that raft sends on was changed")
+			t.Fatal("StoreLog modified the entry, which raft also sends to followers")
 		}
 	}
 }
@@ -100,11 +100,12 @@
 	} {
 		_, err := Open(c.folder, "plant", "v1", hclog.NewNullLogger())
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "/") {
-			t.Errorf("%v, and %q is expected", err, c.want)
+			t.Errorf("got %v, expected %q", err, c.want)
 		}
 	}
 }
 
+// TestVoteIsAtomic sets the term of a vote without its candidate. After a restart the store must still have the previous vote.
 func TestVoteIsAtomic(t *testing.T) {
 	folder := t.TempDir()
 	d := open(t, folder)
@@ -114,7 +115,7 @@
 		}
 	}
 	vote(4, "a")
-	if err := d.Store.SetUint64([]byte(keyVoteTerm), 5); err != nil { // and then a crash
+	if err := d.Store.SetUint64([]byte(keyVoteTerm), 5); err != nil { // a crash follows, before the candidate is set
 		t.Fatal(err)
 	}
 	d.Close()
@@ -127,7 +128,7 @@
 	}
 }
 
-// filled makes a disk with 20 entries, a snapshot of the first 10 and a vote, and closes it.
+// newFilledFolder makes a folder with 20 entries, a snapshot of the first 10 and a vote.
 func newFilledFolder(t *testing.T) (folder string, contents Contents) {
 	folder = t.TempDir()
 	d := open(t, folder)
@@ -151,7 +152,8 @@
 	return folder, contents
 }
 
-// look opens a folder whose file was changed: all must be as it was, or an ErrDamaged name the place.
+// checkDamage opens a folder in which a file was changed. Either the contents are unaffected, or it fails with an ErrDamaged
+// that names the folder, and checkDamage returns true.
 func checkDamage(t *testing.T, folder, what string, contents Contents) (damaged bool) {
 	t.Helper()
 	d, err := Open(folder, "plant", "v1", hclog.NewNullLogger())
@@ -165,13 +167,13 @@
 			term, _ := d.Store.GetUint64([]byte(keyVoteTerm))
 			cand, _ := d.Store.Get([]byte(keyVoteCand))
 			if now != contents || term != 3 || string(cand) != "a candidate" {
-				t.Fatalf("%s: not seen: %+v after %+v, a vote in %d for %q", what, now, contents, term, cand)
+				t.Fatalf("%s: damage not detected: %+v after %+v, a vote in %d for %q", what, now, contents, term, cand)
 			}
 			return false
 		}
 	}
 	if !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), folder) || strings.Contains(err.Error(), "\n") {
-		t.Fatalf("%s: without its place, or more than a line: %v", what, err)
+		t.Fatalf("%s: the error must be an ErrDamaged on one line that names the folder: %v", what, err)
 	}
 	return true
 }
@@ -206,13 +208,13 @@
 				t.Fatal(err)
 			}
 			if !checkDamage(t, folder, name, contents) {
-				t.Fatal("not seen")
+				t.Fatal("damage not detected")
 			}
 		})
 	}
 }
 
-// TestFlippedBits flips one bit of the log's file at a time, anywhere in it.
+// TestFlippedBits flips a random bit of the log file at a time.
 func TestFlippedBits(t *testing.T) {
 	folder, contents := newFilledFolder(t)
 	path := filepath.Join(folder, logFile)
@@ -241,9 +243,9 @@
 		}
 	}
 	if detected == 0 {
-		t.Fatal("no flip was seen")
+		t.Fatal("no flip was detected")
 	}
-	t.Logf("%d of %d flips were seen, the others had no effect", detected, times)
+	t.Logf("%d of %d flips were detected, the others had no effect", detected, times)
 }
 
 func TestFaultIsReported(t *testing.T) {
--- a/internal/cluster/voter/link/link_test.go
+++ b/internal/cluster/voter/link/link_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pair is two layers of one cluster; those who dial count.
+// newPair returns two layers of one cluster, the address of b, and counters of dials and refusals.
 func newPair(t *testing.T) (a, b *Layer, to raft.ServerAddress, dials, refusals *atomic.Int32) {
 	mux := http.NewServeMux()
 	server := httptest.NewServer(mux)
@@ -41,7 +41,7 @@
 	return a, b, Address("b", "id-b"), dials, refusals
 }
 
-// echo answers every byte on all connections that come to a layer.
+// serveEcho echoes all data on the incoming connections of a layer.
 func serveEcho(l *Layer) {
 	go func() {
 		for {
@@ -54,6 +54,7 @@
 	}()
 }
 
+// checkEcho writes a text and expects it back.
 func checkEcho(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -66,6 +67,8 @@
 	}
 }
 
+// TestDialRefusesWrongIdentity checks that a connection meant for another identity or cluster is refused, and that both sides
+// report it.
 func TestDialRefusesWrongIdentity(t *testing.T) {
 	a, b, to, _, refusals := newPair(t)
 	serveEcho(b)
@@ -79,7 +82,7 @@
 		if _, err := a.Dial(other, 10*time.Second); err == nil || !strings.Contains(err.Error(), "421") || !strings.Contains(err.Error(), "identity") {
 			t.Errorf("%s: %v", other, err)
 		}
-		if refusals.Load() != before+2 { // both sides tell
+		if refusals.Load() != before+2 { // reported by both sides
 			t.Errorf("%s: %d refusals", other, refusals.Load()-before)
 		}
 	}
@@ -88,7 +91,7 @@
 		t.Error(err)
 	}
 	if _, err := a.Dial(Address("x", "id-b"), 10*time.Second); err == nil {
-		t.Error("a voter that is not configured is dialled")
+		t.Error("a voter that is not configured was dialled")
 	}
 	b.Close()
 	if _, err := io.ReadAll(c); err != nil && !errors.Is(err, net.ErrClosed) && !strings.Contains(err.Error(), "reset") {
@@ -96,7 +99,8 @@
 	}
 }
 
-// TestRestedConnection has the other side close connections that raft still keeps for its next call.
+// TestIdleConnectionIsRedialled closes a connection on the other side while raft keeps it for its next call. The next write must
+// dial again.
 func TestIdleConnectionIsRedialled(t *testing.T) {
 	a, b, to, dials, _ := newPair(t)
 	serveEcho(b)
@@ -114,7 +118,7 @@
 	makeIdle()
 	checkEcho(t, c, "two")
 	if n := dials.Load(); n != 1 {
-		t.Fatalf("%d dials: a live connection is dialled anew", n)
+		t.Fatalf("%d dials: an open connection was dialled again", n)
 	}
 	b.mu.Lock()
 	var in []net.Conn
@@ -126,7 +130,7 @@
 		k.Close()
 	}
 	one := make([]byte, 1)
-	if _, err := out.conn.Read(one); err != io.EOF { // the end has arrived
+	if _, err := out.conn.Read(one); err != io.EOF { // the close has arrived
 		t.Fatal(err)
 	}
 	makeIdle()
@@ -136,7 +140,7 @@
 	}
 	c.Close()
 	if _, err := c.Write(one); err == nil {
-		t.Fatal("a closed connection is written to")
+		t.Fatal("write on a closed connection succeeded")
 	}
 }
 
--- a/internal/cluster/voter/link/pipeline_test.go
+++ b/internal/cluster/voter/link/pipeline_test.go
@@ -8,7 +8,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestPipelineWithoutDecoder sends by a pipeline whose answers nobody takes: raft's decoder ends at the first that says no.
+// TestPipelineWithoutDecoder sends through a pipeline whose responses nobody consumes, because raft's decoder ends at the first
+// negative one. The sender must not block.
 func TestPipelineWithoutDecoder(t *testing.T) {
 	a, b, to, _, _ := newPair(t)
 	newTransport := func(l *Layer) *raft.NetworkTransport {
@@ -33,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const messages = 8 // raft's own holds two
+	const messages = 8 // raft's own pipeline takes two
 	sent := make(chan error)
 	go func() {
 		var err error
@@ -50,7 +51,7 @@
 			t.Fatal(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the sender waits for ever")
+		t.Error("the sender blocks")
 		p.Close()
 		<-sent
 		return
