--- a/internal/cluster/voter/bench_test.go
+++ b/internal/cluster/voter/bench_test.go
@@ -13,7 +13,7 @@
 	"burlpass/internal/record"
 )
 
-// report gives quantiles in milliseconds.
+// report adds quantiles in milliseconds to a benchmark's metrics.
 func report(b *testing.B, name string, all []time.Duration) {
 	slices.Sort(all)
 	ms := func(q float64) float64 {
@@ -25,7 +25,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkFsync is what the disk takes for 4 KiB that are there for good.
+// BenchmarkFsync measures how long the disk takes to write and sync 4 KiB.
 func BenchmarkFsync(b *testing.B) {
 	f, err := os.Create(filepath.Join(b.TempDir(), "f"))
 	if err != nil {
@@ -47,8 +47,8 @@
 	report(b, "fsync", all)
 }
 
-// BenchmarkWrites has five voters agree on 500 writes a second for 10 s, handed in at all of them by turns. A write's time
-// counts from when it was due.
+// BenchmarkWrites measures the latency of 500 writes per second for 10 s with five voters, sent to the leader or to all voters
+// in turn. A write's latency counts from the time when it was due.
 func BenchmarkWrites(b *testing.B) {
 	const rate, seconds = 500, 10
 	c := newCluster(b, 5)
@@ -75,7 +75,8 @@
 	}
 }
 
-// BenchmarkFailover takes the leader off 20 times, and counts until a write through another voter is acknowledged.
+// BenchmarkFailover kills or closes the leader 20 times, and measures the time until a write through another voter is
+// acknowledged.
 func BenchmarkFailover(b *testing.B) {
 	c := newCluster(b, 5)
 	c.open()
@@ -87,12 +88,12 @@
 			start := time.Now()
 			gone := make(chan struct{})
 			go func() { defer close(gone); end(leader) }()
-			c.eventually("it is off", func() bool { return leader.mux.Load() == nil })
+			c.eventually("the old leader is down", func() bool { return leader.mux.Load() == nil })
 			c.others(leader)[0].write(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)
 			all = append(all, time.Since(start))
 			<-gone
 			leader.open()
-			c.eventually("it is back", func() bool {
+			c.eventually("the old leader is back", func() bool {
 				s := leader.v.Status()
 				return s.Leader != "" && leader.v.Replica() != nil
 			})
--- a/internal/cluster/voter/cluster_test.go
+++ b/internal/cluster/voter/cluster_test.go
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// cluster is voters in this process, each with its own folder and address.
+// cluster is a set of voters in this process, each with its own folder and address.
 type cluster struct {
 	t       testing.TB
 	nodes   []*node
@@ -34,7 +34,7 @@
 	limits  func(record.View) []lease.Limit
 
 	mu    sync.Mutex
-	cut   map[[2]string]bool // from, to: whose calls do not get through
+	cut   map[[2]string]bool // pairs of from and to whose connections are blocked
 	conns map[*conn]bool
 }
 
@@ -49,6 +49,7 @@
 	v      *Voter
 }
 
+// logBuffer collects the log output of a node.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -60,13 +61,14 @@
 	return l.text.Write(b)
 }
 
-// count tells how often an event was logged.
+// count returns how often an event was logged.
 func (l *logBuffer) count(event string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), "msg="+event)
 }
 
+// conn is a connection between two nodes, which can be blocked.
 type conn struct {
 	net.Conn
 	c        *cluster
@@ -82,7 +84,7 @@
 	return c.Conn.Close()
 }
 
-// newCluster makes addresses and folders; nothing is open yet.
+// newCluster prepares addresses and folders for n voters, and opens none of them.
 func newCluster(t testing.TB, n int) *cluster {
 	c := &cluster{t: t, cut: map[[2]string]bool{}, conns: map[*conn]bool{}}
 	var voters []Peer
@@ -140,7 +142,7 @@
 	d.v = nil
 }
 
-// kill takes a voter off at once, as the end of its process does: it hands nothing on.
+// kill stops a voter like the end of its process does: it cannot transfer its leadership.
 func (d *node) kill() {
 	d.c.isolate(d, true)
 	d.close()
@@ -169,7 +171,7 @@
 	return c, nil
 }
 
-// isolate cuts a node off from all others, or ends that.
+// isolate blocks all connections between a node and the others, or allows them again.
 func (c *cluster) isolate(d *node, cut bool) {
 	for _, o := range c.nodes {
 		c.block(d, o, cut)
@@ -177,7 +179,7 @@
 	}
 }
 
-// part lets nothing through that from asks of to.
+// block closes and refuses the connections that one node opens to another, or allows them again.
 func (c *cluster) block(from, to *node, cut bool) {
 	c.mu.Lock()
 	route := [2]string{from.peer.Name, to.peer.Name}
@@ -194,6 +196,7 @@
 	}
 }
 
+// open opens all nodes that are not open, and waits until all have a vote.
 func (c *cluster) open() {
 	c.t.Helper()
 	for _, d := range c.nodes {
@@ -201,7 +204,7 @@
 			d.open()
 		}
 	}
-	c.eventually("all vote", func() bool {
+	c.eventually("all nodes have a vote", func() bool {
 		for _, d := range c.nodes {
 			if s := d.v.Status(); s.Leader == "" || s.State == "forming" || s.State == "joining" || d.v.Replica() == nil {
 				return false
@@ -211,7 +214,7 @@
 	})
 }
 
-// eventually waits for what no channel tells, a minute at most.
+// eventually polls a condition for up to a minute.
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(2 * time.Millisecond) {
@@ -226,7 +229,7 @@
 	}
 }
 
-// leader waits until one of the nodes leads, and gives it.
+// leader waits until one of the given nodes, or of all if none are given, leads, and returns it.
 func (c *cluster) leader(among ...*node) *node {
 	c.t.Helper()
 	if among == nil {
@@ -254,12 +257,13 @@
 	return others
 }
 
+// disableOrder is a write that disables a worker.
 func disableOrder(id, worker string, base record.Version) *record.Write {
 	return &record.Write{ID: id, By: "test", Base: base, Changes: []record.Change{{Kind: record.OrderKind, Key: "worker/" + worker,
 		Value: []byte(`{"do":"disable","by":"test"}`)}}}
 }
 
-// write has a write applied, and asks again under its id as long as nobody can tell.
+// write applies a write, and repeats it under the same id until the outcome is known.
 func (d *node) write(id, worker string, base record.Version) record.Result {
 	d.c.t.Helper()
 	var result record.Result
@@ -276,7 +280,7 @@
 	return result
 }
 
-// has waits until a node shows an order.
+// waitShows waits until a node shows the orders of all given workers.
 func (d *node) waitShows(workers ...string) {
 	d.c.t.Helper()
 	d.c.eventually(fmt.Sprintf("%s shows %v", d.peer.Name, workers), func() bool {
@@ -294,7 +298,7 @@
 	})
 }
 
-// read reads consistently.
+// read performs a consistent read, and repeats it until it succeeds.
 func (d *node) read() record.View {
 	d.c.t.Helper()
 	var view record.View
@@ -311,7 +315,7 @@
 	return view
 }
 
-// ask makes a call between voters by hand.
+// get sends a GET request with the given header.
 func get(t testing.TB, addr, path string, header http.Header) (status int, text string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+path, nil)
--- a/internal/cluster/voter/damage_test.go
+++ b/internal/cluster/voter/damage_test.go
@@ -14,15 +14,15 @@
 	"burlpass/internal/record"
 )
 
-// isFailed waits until a node has failed, and checks what it then says.
+// waitFailed waits until a node has failed, and checks its status, its log, and that it refuses reads and writes.
 func (d *node) waitFailed(why string) {
 	d.c.t.Helper()
 	d.c.eventually(d.peer.Name+" has failed", func() bool { return d.v.Status().State == "failed" })
 	if s := d.v.Status(); !strings.Contains(s.Fault, why) || strings.Contains(s.Fault, "\n") {
-		d.c.t.Fatalf("%q, and %q is expected", s.Fault, why)
+		d.c.t.Fatalf("fault %q, expected %q", s.Fault, why)
 	}
 	if n := d.logs.count("cluster_disk"); n != 1 {
-		d.c.t.Fatalf("%d lines", n)
+		d.c.t.Fatalf("cluster_disk logged %d times", n)
 	}
 	if _, err := d.v.Write(context.Background(), disableOrder("x", "x", 0)); !errors.Is(err, api.ErrRefused) {
 		d.c.t.Fatal(err)
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestFlippedEntry flips a bit of an entry on a closed voter's disk. It takes no part any more, and the others go on.
+// TestCorruptEntry changes a bit of a log entry on a closed voter's disk. The voter must fail, and the others go on.
 func TestCorruptEntry(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
@@ -49,7 +49,7 @@
 	}
 	text := []byte("the-worker-in-question")
 	if !bytes.Contains(b, text) {
-		t.Fatal("the entry is not there")
+		t.Fatal("the log file does not contain the entry")
 	}
 	if err := os.WriteFile(path, bytes.ReplaceAll(b, text, []byte("the-worker-in-juestion")), 0o600); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	others := c.others(d)
 	others[0].write("b", "w", 0)
 	others[1].waitShows("w")
-	// An emptied folder is the way back.
+	// With an emptied folder the voter joins again.
 	d.close()
 	d.wipe()
 	d.open()
@@ -67,7 +67,7 @@
 	d.waitShows("the-worker-in-question", "w")
 }
 
-// TestDiskTakesNoMore has the disks of a follower and then of the leader refuse to write, while the process lives on.
+// TestDiskFull makes writes fail on the disk of a follower and then of the leader, while the processes go on.
 func TestDiskFull(t *testing.T) {
 	full := func(op string) error {
 		if strings.HasPrefix(op, "write") {
@@ -93,14 +93,15 @@
 		}
 	}
 	if len(follower.v.Replica().View().Hash()) == 0 {
-		t.Fatal("what it has shown is gone")
+		t.Fatal("a failed voter no longer shows its last state")
 	}
 }
 
-// TestLeadersDiskHangs has a write to the leader's disk hang: another voter leads, and it follows once the disk is back.
+// TestLeadersDiskHangs blocks a write to the leader's disk. Another voter must become leader, and the old leader must follow
+// it once the write returns.
 func TestLeadersDiskHangs(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{DiskStall: 200 * time.Millisecond, Heartbeat: time.Second, LeaderLease: time.Second} // a busy machine elects nobody before
+	c.timings = Timings{DiskStall: 200 * time.Millisecond, Heartbeat: time.Second, LeaderLease: time.Second} // long enough to avoid elections on a busy machine
 	c.open()
 	leader := c.leader()
 	resume := make(chan struct{})
@@ -115,18 +116,18 @@
 	if _, err := leader.v.Write(ctx, disableOrder("a", "w", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
 		t.Error(err)
 	}
-	c.eventually("the leader says that its disk hangs", func() bool { return leader.logs.count("cluster_disk_slow") > 0 })
+	c.eventually("the leader logs that its disk hangs", func() bool { return leader.logs.count("cluster_disk_slow") > 0 })
 	others := c.others(leader)
 	c.leader(others...)
 	others[0].write("b", "w2", 0)
 	close(resume)
 	leader.waitShows("w2")
 	if n := leader.logs.count("cluster_disk_slow"); n != 1 {
-		t.Fatalf("%d lines", n)
+		t.Fatalf("cluster_disk_slow logged %d times", n)
 	}
 }
 
-// TestElectionOnABadDisk has a voter's disk fail where raft itself would panic: when it keeps a new term.
+// TestDiskFailsDuringElection makes a voter's disk fail while it stores a new term, where raft itself would panic.
 func TestDiskFailsDuringElection(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
@@ -144,7 +145,7 @@
 	good.write("a", "w", 0)
 }
 
-// TestNewerFormat has an entry in the log that this program does not read.
+// TestNewerEntryFormat puts an entry of an unknown format into the log.
 func TestNewerEntryFormat(t *testing.T) {
 	c := newCluster(t, 1)
 	c.open()
@@ -158,9 +159,9 @@
 	d.logs.mu.Lock()
 	d.logs.text.Reset()
 	d.logs.mu.Unlock()
-	d.open() // again it stops there
+	d.open() // it fails again at that entry
 	d.waitFailed("format 99")
 	if r := d.v.Replica(); r != nil && r.View().Version() < record.Version(1) {
-		t.Fatal("it shows an older state")
+		t.Fatal("the voter shows an older state")
 	}
 }
--- a/internal/cluster/voter/lease_bench_test.go
+++ b/internal/cluster/voter/lease_bench_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	limitPerSecond = 1000                  // the limit
-	bucketLength   = 10 * time.Millisecond // of what is counted
+	limitPerSecond = 1000                  // the fleet's limit
+	bucketLength   = 10 * time.Millisecond // resolution of the counters
 )
 
-// asker asks the voters by turns, as an observer does.
+// roundRobinMember sends lease requests to one voter, and on an error to the next, as an observer does.
 type roundRobinMember struct {
 	members   []atomic.Pointer[Voter]
 	lastIndex atomic.Int32
@@ -45,18 +45,19 @@
 	return lease.Answer{}, err
 }
 
-// fleet is processes that offer calls, all of one limit.
+// fleet is a set of processes with calls that all count for one limit.
 type fleet struct {
 	b            *testing.B
 	c            *cluster
 	start        time.Time
-	admitted     []atomic.Int64 // let in, by cell
-	offeredCalls []atomic.Int64 // offered, by cell
+	admitted     []atomic.Int64 // calls admitted, by bucket
+	offeredCalls []atomic.Int64 // calls offered, by bucket
 	members      []*roundRobinMember
 	ctx          context.Context
 	wg           sync.WaitGroup
 }
 
+// process starts a process that offers calls at a rate that may change each second.
 func (f *fleet) process(i int, rate func(second int) float64) {
 	a := &roundRobinMember{members: make([]atomic.Pointer[Voter], len(f.c.nodes))}
 	for n, d := range f.c.nodes {
@@ -98,7 +99,8 @@
 	return f, func() { cancel(); f.wg.Wait() }
 }
 
-// report gives the most that was let in in any second, and the share of what could have been.
+// report adds the maximum number of calls admitted within any second, and the admitted share of the calls that the limit
+// allowed.
 func (f *fleet) report(name string, from, to int) {
 	n := int(time.Second / bucketLength)
 	var admitted, possible, most, window int64
@@ -121,7 +123,7 @@
 	f.b.ReportMetric(0, "ns/op")
 }
 
-// drawnRates are what 8 processes offer, anew each second; more than the limit together.
+// randomRates returns the rates of 8 processes for each second. Their sum always exceeds the limit.
 func randomRates(seconds int) [][]float64 {
 	r := rand.New(rand.NewPCG(1, 2))
 	all := make([][]float64, seconds+10)
@@ -139,7 +141,7 @@
 	return all
 }
 
-// BenchmarkLeases is a limit of 1,000 a second between 8 processes whose demand changes each second, 5 voters.
+// BenchmarkLeases shares a limit of 1,000 calls per second between 8 processes whose demand changes each second, with 5 voters.
 func BenchmarkLeases(b *testing.B) {
 	const seconds = 25
 	rates := randomRates(seconds)
@@ -175,7 +177,7 @@
 	}
 }
 
-// BenchmarkLeaseCost is what holders and five voters take of the processor together, without calls.
+// BenchmarkLeaseCost measures the CPU time of lease holders and five voters together, without calls.
 func BenchmarkLeaseCost(b *testing.B) {
 	for _, n := range []int{0, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -196,7 +198,7 @@
 	}
 }
 
-// asks is a holder of one limit that asks four times a second.
+// requestLeases runs a holder of one limit that sends a request four times a second.
 func (f *fleet) requestLeases(i int, answered *atomic.Int64) {
 	defer f.wg.Done()
 	h := lease.NewHolder(fmt.Sprint("p", i), 0)
@@ -212,6 +214,7 @@
 	}
 }
 
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/cluster/voter/lease_test.go
+++ b/internal/cluster/voter/lease_test.go
@@ -12,7 +12,7 @@
 	"burlpass/internal/record"
 )
 
-// limited is a cluster that has one limit for each order in the record.
+// newLimitedCluster opens a cluster with one limit for each order in the record.
 func newLimitedCluster(t testing.TB, n int) *cluster {
 	c := newCluster(t, n)
 	c.limits = func(v record.View) (all []lease.Limit) {
@@ -26,7 +26,7 @@
 	return c
 }
 
-// given asks until something of a limit is given.
+// waitGranted sends lease requests until a part of a limit is granted, and returns the amount.
 func (d *node) waitGranted(h *lease.Holder, id string) int64 {
 	d.c.t.Helper()
 	var n int64
@@ -47,6 +47,8 @@
 	return n
 }
 
+// TestLeasesSurviveFailover kills the leader. The next one must keep the lease of its holder, and must not grant the same amount
+// to another holder before that lease could have expired.
 func TestLeasesSurviveFailover(t *testing.T) {
 	c := newLimitedCluster(t, 3)
 	first := c.leader()
@@ -55,7 +57,7 @@
 	h := lease.NewHolder("p/1", 0)
 	h.Set([]lease.Limit{l})
 	if got := c.others(first)[0].waitGranted(h, l.ID); got != l.Leased() {
-		t.Errorf("given through another voter: %d, not %d", got, l.Leased())
+		t.Errorf("granted through another voter: %d, expected %d", got, l.Leased())
 	}
 	epoch := h.Epoch()
 	first.kill()
@@ -63,16 +65,17 @@
 	began := time.Now()
 	c.eventually("another epoch", func() bool { second.waitGranted(h, l.ID); return h.Epoch() > epoch })
 	if got := second.waitGranted(h, l.ID); got != l.Leased() {
-		t.Errorf("claimed at the next leader: %d, not %d", got, l.Leased())
+		t.Errorf("granted by the next leader: %d, expected %d", got, l.Leased())
 	}
 	other := lease.NewHolder("q/1", 0)
 	other.Set([]lease.Limit{l})
 	if second.waitGranted(other, l.ID); time.Since(began) < lease.Length-lease.Length/4 {
-		t.Errorf("given to another %v after the election", time.Since(began))
+		t.Errorf("granted to another holder %v after the election", time.Since(began))
 	}
 }
 
-// A leader that is cut off gives nothing: it cannot prove that it leads. Voters without limits refuse.
+// TestLeaseNeedsAMajority isolates the leader: it cannot prove that it still leads, so it must not grant leases. A cluster
+// without limits refuses lease requests.
 func TestLeaseNeedsAMajority(t *testing.T) {
 	c := newLimitedCluster(t, 3)
 	leader := c.leader()
--- a/internal/cluster/voter/patient_test.go
+++ b/internal/cluster/voter/patient_test.go
@@ -9,11 +9,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestPatient has a follower that does not answer: entries get their error once a heartbeat is answered, or there is no use in
-// waiting, and heartbeats are tried again until then.
+// TestRetryTransport sends to a follower that does not answer. A request with entries must return its error only once a
+// heartbeat is answered, the leader is deposed or the transport is closed, and heartbeats must be retried until then.
 func TestRetryTransport(t *testing.T) {
 	heartbeat, entries := &raft.AppendEntriesRequest{Term: 3}, &raft.AppendEntriesRequest{Term: 3, LeaderCommitIndex: 1}
-	errUnreachable := errors.New("gone")
+	errUnreachable := errors.New("unreachable")
 	for name, end := range map[string]func(p *retryTransport, reachable, isLeader *atomic.Bool){
 		"answers":   func(_ *retryTransport, reachable, _ *atomic.Bool) { reachable.Store(true) },
 		"deposed":   func(_ *retryTransport, _, isLeader *atomic.Bool) { isLeader.Store(false) },
@@ -56,7 +56,7 @@
 			}
 			select {
 			case err := <-result:
-				t.Fatal("it does not wait", err)
+				t.Fatal("AppendEntries does not wait", err)
 			default:
 			}
 			end(p, &reachable, &isLeader)
--- a/internal/cluster/voter/place_test.go
+++ b/internal/cluster/voter/place_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// swapFolder exchanges a closed node's folder with another.
+// swapFolder exchanges a closed node's folder with another one.
 func (d *node) swapFolder(other string) {
 	d.c.t.Helper()
 	kept := d.folder + ".kept"
@@ -18,7 +18,8 @@
 	}
 }
 
-// TestOldDisk replaces a voter and brings its old folder back. internal/clustertest/hard does the same with processes.
+// TestReplacedDiskReturns replaces a voter and opens it with its old folder again. It must fail and name both identities.
+// internal/clustertest/hard does the same with processes.
 func TestReplacedDiskReturns(t *testing.T) {
 	c := newCluster(t, 3)
 	c.timings = Timings{CallTimeout: 500 * time.Millisecond}
@@ -37,20 +38,20 @@
 	c.waitVoter(d, others...)
 	newIdentity := d.v.Status().Identity
 	swap()
-	c.eventually("it says that it was replaced", func() bool { return d.v.Status().State == "failed" })
+	c.eventually("the voter knows that it was replaced", func() bool { return d.v.Status().State == "failed" })
 	if fault := d.v.Status().Fault; !strings.Contains(fault, oldIdentity) || !strings.Contains(fault, newIdentity) || strings.Contains(fault, "\n") {
 		t.Fatal(fault)
 	}
 	if d.logs.count("cluster_replaced_elsewhere") != 1 || d.logs.count("cluster_disk") != 0 {
-		t.Fatal("it is not logged once, and as what it is")
+		t.Fatal("cluster_replaced_elsewhere must be logged once, and cluster_disk never")
 	}
 	others[1].write("b", "w2", 0)
-	swap() // the one that counts
+	swap() // the folder with the current identity
 	c.waitVoter(d, others...)
 	d.waitShows("w", "w2")
 }
 
-// TestNoLeaderIsNoReplacement leaves a voter without a leader for longer than it takes to ask: it is one still.
+// TestNoLeaderIsNotReplacement leaves a voter without a leader for several checks of its identity. It must not fail.
 func TestNoLeaderIsNotReplacement(t *testing.T) {
 	c := newCluster(t, 3)
 	c.timings = Timings{CallTimeout: 200 * time.Millisecond}
@@ -59,7 +60,7 @@
 	others := c.others(leader)
 	leader.kill()
 	others[0].kill()
-	time.Sleep(time.Second) // some five questions
+	time.Sleep(time.Second) // about five checks
 	if s := others[1].v.Status(); s.Fault != "" {
 		t.Fatal(s.Fault)
 	}
--- a/internal/cluster/voter/replace_test.go
+++ b/internal/cluster/voter/replace_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// votes waits until a node says of itself that it has joined, under an identity that all nodes given name as a voter.
+// waitVoter waits until a node has joined, and all given nodes list its identity as a voter.
 func (c *cluster) waitVoter(d *node, by ...*node) {
 	c.t.Helper()
 	c.eventually(d.peer.Name+" has its vote", func() bool {
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestLostDisk has the leader lose its disk: what it acknowledged stays, it comes back as another identity, and the one that it
-// was never answers again.
+// TestLostDisk wipes the leader's disk. Its acknowledged writes must remain, it must return with another identity, and its old
+// identity must never answer again.
 func TestLostDisk(t *testing.T) {
 	c := newCluster(t, 3)
 	c.timings = Timings{Threshold: 32, Trailing: 8, Snapshot: 20 * time.Millisecond}
@@ -80,9 +80,9 @@
 	}
 	old.waitShows("w0", "w59", "m")
 	if old.v.Replica().View().Version() < record.Version(before.Version) {
-		t.Fatal("the new identity shows less than was shown")
+		t.Fatal("the new identity shows an older state than the old one did")
 	}
-	// Both others are needed to agree without it, so each has to know the new identity's vote.
+	// With one of the others down, a majority needs the vote of the new identity.
 	others[1].kill()
 	others[0].write("with-the-new-one", "n", 0)
 
@@ -97,9 +97,9 @@
 	var vote raft.RequestVoteResponse
 	err := transport.RequestVote(raft.ServerID(before.Identity), link.Address(old.peer.Name, before.Identity), &request, &vote)
 	if err == nil || vote.Granted || !strings.Contains(err.Error(), "421") {
-		t.Fatalf("the identity whose votes are lost answers: %v, %+v", err, vote)
+		t.Fatalf("the lost identity answers: %v, %+v", err, vote)
 	}
-	// The same request, meant for the one that it is now, gets through: it was refused for the identity alone.
+	// The same request for the new identity succeeds, so only the identity caused the refusal.
 	if err := transport.RequestVote(raft.ServerID(after.Identity), link.Address(old.peer.Name, after.Identity), &request, &vote); err != nil {
 		t.Fatal(err)
 	}
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestFirstStartedAgainOnItsWay: the first voter has lost its disk, has kept the cluster's id, and ends before anything of the
-// log came, or when only a term has come.
+// TestFirstVoterRestartsWhileJoining restarts the first voter after it has lost its disk and stored the cluster's id again, but
+// before it has received any log entry, without or with a stored term.
 func TestFirstVoterRestartsWhileJoining(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestReplacedWhileLeadersChange kills the leader again and again while a voter is taken in.
+// TestReplacementDuringLeaderChanges kills the leader several times while a voter with an empty disk joins.
 func TestReplacementDuringLeaderChanges(t *testing.T) {
 	c := newCluster(t, 5)
 	c.open()
@@ -155,12 +155,12 @@
 	lost.waitShows("w")
 }
 
-// TestTwoLost has two of five lose their disks at once; the configuration changes one by one.
+// TestTwoDisksLost wipes two of five disks at once. The configuration can only change by one voter at a time.
 func TestTwoDisksLost(t *testing.T) {
 	c := newCluster(t, 5)
 	c.open()
 	c.nodes[0].write("a", "w", 0)
-	for _, d := range c.nodes[:2] { // the one that formed it among them
+	for _, d := range c.nodes[:2] { // includes the voter that formed the cluster
 		d.kill()
 		d.wipe()
 	}
@@ -176,7 +176,8 @@
 	}
 }
 
-// TestClaimRace has two voters that both take themselves for the first, by lists in different orders.
+// TestConflictingClaims configures the voters in different orders, so that two of them take themselves for the first. No
+// cluster may be formed until that is corrected.
 func TestConflictingClaims(t *testing.T) {
 	c := newCluster(t, 3)
 	list := c.nodes[0].voters
@@ -199,18 +200,19 @@
 		}
 	}
 	c.nodes[1].close()
-	c.nodes[1].voters = list // mended; its folder knows nothing of the other list
+	c.nodes[1].voters = list // corrected; the folder does not depend on the list
 	c.nodes[1].open()
 	c.waitVoter(c.nodes[1], c.nodes...)
 	c.nodes[1].write("a", "w", 0)
 }
 
-// TestClaimTakenBack has the first voter lose its disk while it forms: its next claim holds, until there is state.
+// TestClaimRepeatedAfterDiskLoss wipes the first voter's disk while it forms the cluster. Its next claim must replace the first
+// one, but a claim must be refused once a voter has state.
 func TestClaimRepeatedAfterDiskLoss(t *testing.T) {
 	c := newCluster(t, 3)
 	c.nodes[0].open()
 	c.nodes[1].open()
-	c.eventually("the claim is kept", func() bool { return c.nodes[1].v.Status().Cluster != "" })
+	c.eventually("the claim is accepted", func() bool { return c.nodes[1].v.Status().Cluster != "" })
 	first := c.nodes[1].v.Status().Cluster
 	c.nodes[0].close()
 	c.nodes[0].wipe()
--- a/internal/cluster/voter/replaced_test.go
+++ b/internal/cluster/voter/replaced_test.go
@@ -13,8 +13,8 @@
 	"burlpass/internal/cluster/voter/link"
 )
 
-// forgetVote takes back, on a closed node's disk, the note that it has had its vote: as a process leaves it that is killed
-// between the entry that gave it the vote and the note.
+// clearVoted resets the "voted" flag on a closed node's disk. A process leaves the disk like that if it is killed between the
+// entry that gave it the vote and the write of the flag.
 func (d *node) clearVoted() {
 	d.c.t.Helper()
 	path := filepath.Join(d.folder, "identity")
@@ -24,15 +24,15 @@
 	}
 	before := strings.Replace(string(text), `"voted": true`, `"voted": false`, 1)
 	if before == string(text) {
-		d.c.t.Fatalf("no vote is noted in %s", text)
+		d.c.t.Fatalf("the voted flag is not set in %s", text)
 	}
 	if err := os.WriteFile(path, []byte(before), 0o600); err != nil {
 		d.c.t.Fatal(err)
 	}
 }
 
-// TestOldDiskWithoutItsVote brings back the disk of an identity that was taken out, whose process was killed before it had
-// noted its vote, so that it asks to be taken in. It must not displace the identity that has its name.
+// TestReplacedDiskWithoutVoteReturns opens the disk of a removed identity whose process was killed before it stored that it has
+// had a vote, so that it asks to join. It must not displace the identity that has its name.
 func TestReplacedDiskWithoutVoteReturns(t *testing.T) {
 	c := newCluster(t, 3)
 	c.timings = Timings{CallTimeout: 500 * time.Millisecond}
@@ -54,19 +54,19 @@
 	newIdentity := d.v.Status().Identity
 	d.close()
 	swap()
-	c.eventually("it says that it was replaced", func() bool { return d.v.Status().State == "failed" })
+	c.eventually("the voter knows that it was replaced", func() bool { return d.v.Status().State == "failed" })
 	if fault := d.v.Status().Fault; !strings.Contains(fault, oldIdentity) || !strings.Contains(fault, newIdentity) {
 		t.Fatal(fault)
 	}
 	d.close()
-	swap() // the one that counts
+	swap() // the folder with the current identity
 	c.waitVoter(d, others...)
 	if s := d.v.Status(); s.Identity != newIdentity {
-		t.Fatalf("the identity %s has the name, and %s was taken in", s.Identity, newIdentity)
+		t.Fatalf("identity %s has the name, expected %s", s.Identity, newIdentity)
 	}
 }
 
-// TestWasMember tells a configuration that was committed from one that a leader lost before it was.
+// TestWasCommitted checks that a committed configuration is told from one that a leader appended but never committed.
 func TestWasCommitted(t *testing.T) {
 	id := disk.NewID()
 	entry := func(index, term uint64, ids ...string) *raft.Log {
--- a/internal/cluster/voter/restart_test.go
+++ b/internal/cluster/voter/restart_test.go
@@ -16,7 +16,7 @@
 
 const restartRecords = 100_000
 
-// fill has 200 writers set an item each time, by the voter that leads.
+// fill writes the given number of items through the leader, with 200 concurrent writers.
 func (c *cluster) fill(records int) {
 	leader := c.leader()
 	var done sync.WaitGroup
@@ -26,7 +26,7 @@
 			defer done.Done()
 			for i := range records / 200 {
 				worker := fmt.Sprint("w", w, "-", i)
-				base := leader.v.Replica().View().Version() // its results are remembered
+				base := leader.v.Replica().View().Version() // recent: an old base is refused as Forgotten
 				if r, err := leader.v.Write(context.Background(), disableOrder("id-"+worker, worker, base)); err != nil || r.Outcome != record.Applied {
 					c.t.Error(r, err)
 					return
@@ -37,15 +37,16 @@
 	done.Wait()
 }
 
+// heapBytes returns the size of the live heap.
 func heapBytes() int {
 	runtime.GC()
-	runtime.GC() // what a finalizer let go
+	runtime.GC() // frees what finalizers released
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return int(s.HeapAlloc)
 }
 
-// onDisk is what a folder's files hold, and of that the newest snapshot.
+// folderSize returns the total size of a folder's files, and the size of its largest snapshot.
 func folderSize(b *testing.B, folder string) (all, snapshot int64) {
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
@@ -67,9 +68,9 @@
 	return all, snapshot
 }
 
-// BenchmarkRestart counts from the start of a voter whose disk holds 100,000 records until it shows all of them: as items in a
-// snapshot, as entries of a log without one, and as snapshots at the usual distance leave them. A voter restarts alone
-// in its cluster, or beside two that run on, or all three of a cluster start again in this one process.
+// BenchmarkRestart measures the time from the start of a voter whose disk holds 100,000 records until it shows all of them. The
+// records are items in a snapshot, entries in a log without a snapshot, or both with the default snapshot threshold. The
+// cluster has a single voter, or one of three voters restarts, or all three restart in this process.
 func BenchmarkRestart(b *testing.B) {
 	for _, held := range []string{"items", "entries", "usual"} {
 		for _, voters := range []string{"alone", "one-of-three", "three"} {
@@ -120,7 +121,7 @@
 			}
 		}
 		opened := time.Since(start)
-		c.eventually("all is there", func() bool { return last.v.Status().Version >= want })
+		c.eventually("all records are shown", func() bool { return last.v.Status().Version >= want })
 		all = append(all, time.Since(start))
 		if os.Getenv("RESTART_STEPS") != "" {
 			b.Logf("open %v, all %v", opened, all[len(all)-1])
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -11,9 +11,11 @@
 	"burlpass/internal/record"
 )
 
+// TestClusterForms checks that the first voter forms the cluster with the others, and that writes, reads and the record's time
+// work afterwards.
 func TestClusterForms(t *testing.T) {
 	c := newCluster(t, 3)
-	c.nodes[1].open() // alone it forms nothing, and shows nothing
+	c.nodes[1].open() // not the first voter: it neither forms a cluster nor shows a state
 	if s := c.nodes[1].v.Status(); s.State != "joining" || s.AgeMs != -1 || s.Cluster != "" {
 		t.Fatalf("%+v", s)
 	}
@@ -38,7 +40,7 @@
 			t.Fatalf("%+v", s)
 		}
 		if formed := d.logs.count("cluster_formed"); (formed == 1) != (d == c.nodes[0]) {
-			t.Fatalf("%s: %d times formed", d.peer.Name, formed)
+			t.Fatalf("%s: formed %d times", d.peer.Name, formed)
 		}
 	}
 	c.eventually("the voters' clocks are in the record", func() bool { return c.nodes[0].v.Replica().View().TimeMs() > 0 })
@@ -48,7 +50,7 @@
 	}
 }
 
-// TestAlone has one voter, whose disk is all that there is.
+// TestSingleVoter restarts the only voter of a cluster.
 func TestSingleVoter(t *testing.T) {
 	c := newCluster(t, 1)
 	c.open()
@@ -58,7 +60,8 @@
 	c.nodes[0].waitShows("w")
 }
 
-// TestRestartGoesNotBack closes all and opens one alone: it shows nothing, since it cannot know what was committed.
+// TestRestartShowsNoOlderState closes all voters and opens a single one. It must not show a state, because it cannot know what
+// was committed.
 func TestRestartShowsNoOlderState(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
@@ -79,7 +82,7 @@
 		t.Fatalf("a consistent read without the others: %v", err)
 	}
 	if _, _, err := c.nodes[0].v.Read(ctx, false); !errors.Is(err, api.ErrNothing) || c.nodes[0].v.Replica() != nil {
-		t.Fatalf("it shows a state that may be older than the one that it showed: %v", err)
+		t.Fatalf("the voter shows a state that may be older than the one shown before: %v", err)
 	}
 	c.nodes[1].open()
 	c.eventually("the state is shown again", func() bool { return c.nodes[0].v.Replica() != nil })
@@ -94,7 +97,7 @@
 	}
 }
 
-// TestLeaderEnds kills the leader, and asks again for what it had acknowledged.
+// TestLeaderKilled kills the leader, and repeats a write that it had acknowledged.
 func TestLeaderKilled(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
@@ -110,11 +113,12 @@
 	old.open()
 	old.waitShows("w1", "w2")
 	if old.read().Hash() == "" || old.logs.count("cluster_leader") == 0 {
-		t.Fatal("no hash, or no word of the leader")
+		t.Fatal("no hash, or the leader was not logged")
 	}
 }
 
-// TestMinority cuts a leader and another voter off from three others.
+// TestMinorityPartition separates the leader and another voter from the three others. The minority must not accept writes or
+// consistent reads.
 func TestMinorityPartition(t *testing.T) {
 	c := newCluster(t, 5)
 	c.open()
@@ -131,17 +135,17 @@
 	for _, d := range []*node{old, second} {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if _, err := d.v.Write(ctx, disableOrder("lost-"+d.peer.Name, "lost", 0)); !errors.Is(err, api.ErrRefused) && !errors.Is(err, api.ErrUnknown) {
-			t.Errorf("a minority writes: %v", err)
+			t.Errorf("a minority accepts a write: %v", err)
 		}
 		if _, _, err := d.v.Read(ctx, true); !errors.Is(err, api.ErrRefused) {
-			t.Errorf("a minority reads consistently: %v", err)
+			t.Errorf("a minority accepts a consistent read: %v", err)
 		}
 		cancel()
 	}
 	c.leader(majority...)
 	majority[0].write("kept", "kept", 0)
 	age := second.v.Status().AgeMs
-	c.eventually("what is cut off gets old", func() bool { return second.v.Status().AgeMs > age+100 })
+	c.eventually("the state of the minority ages", func() bool { return second.v.Status().AgeMs > age+100 })
 	for _, d := range majority {
 		for _, cut := range []*node{old, second} {
 			c.block(d, cut, false)
@@ -150,7 +154,7 @@
 	}
 	old.waitShows("kept")
 	hash := map[string]bool{}
-	c.eventually("all hold the same", func() bool {
+	c.eventually("all voters have the same state", func() bool {
 		clear(hash)
 		for _, d := range c.nodes {
 			v := d.v.Replica().View()
@@ -160,7 +164,7 @@
 	})
 }
 
-// TestCallerGivesUp has a write whose caller waits no longer, while a majority is away.
+// TestCallerTimeout has a write whose caller stops waiting while the disks of a majority hang.
 func TestCallerTimeout(t *testing.T) {
 	c := newCluster(t, 3)
 	c.timings = Timings{Heartbeat: time.Second, LeaderLease: time.Second}
@@ -170,14 +174,14 @@
 	for _, d := range c.others(leader) {
 		d.v.disk.Store.Interpose(func(op string) error { <-resume; return nil })
 	}
-	c.eventually("nobody can tell what became of it", func() bool {
+	c.eventually("the outcome of the write is unknown", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := leader.v.Write(ctx, disableOrder("a", "w", 0))
 		if err == nil {
 			t.Fatal("a write is acknowledged without a majority's disks")
 		}
-		return errors.Is(err, api.ErrUnknown) // refused: the time was over before raft had it
+		return errors.Is(err, api.ErrUnknown) // ErrRefused: the timeout expired before raft had the write
 	})
 	close(resume)
 	if r := leader.write("a", "w", 0); r.Version == 0 {
@@ -185,7 +189,8 @@
 	}
 }
 
-// TestAgeAfterAStart: whatever the machine's clock says, a start knows the age of its state only by a new clock entry.
+// TestAgeAfterRestart checks that the age of the state is unknown after a restart until a new clock entry is applied, whatever
+// the machine's clock says.
 func TestAgeAfterRestart(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
@@ -198,6 +203,6 @@
 	c.open()
 	c.nodes[1].waitShows("w0")
 	if s := c.nodes[1].v.Status(); s.AgeMs != -1 {
-		t.Errorf("an age of %d ms, without a clock entry", s.AgeMs)
+		t.Errorf("age of %d ms without a clock entry", s.AgeMs)
 	}
 }
