--- a/internal/cluster/voter/fsm.go
+++ b/internal/cluster/voter/fsm.go
@@ -67,7 +67,7 @@
 func (f *fsm) updateVisible() {
 	switch {
 	case f.visible || !f.restored:
-	case f.stored.Last == 0: // the disk was empty: nothing was shown before, but an empty state may be outdated until there is a vote
+	case f.stored.Last == 0: // an empty disk has shown nothing before, but its empty state may be outdated without a vote
 		f.visible = f.hasVote
 	default:
 		if f.visible = f.newerTerm || f.replica.Version() >= f.snapshotVersion+record.Version(f.stored.Commands); f.visible {
@@ -113,7 +113,7 @@
 
 // ApplyBatch implements raft.BatchingFSM. At a start the batches are large, and the replica decodes their entries on all cores.
 func (f *fsm) ApplyBatch(logs []*raft.Log) []any {
-	answers := make([]any, len(logs))
+	responses := make([]any, len(logs))
 	f.mu.Lock()
 	applyErr := f.applyErr
 	f.mu.Unlock()
@@ -128,27 +128,27 @@
 	if applyErr == nil {
 		results, err = f.replica.ApplyAll(raw)
 	}
-	taken := 0
+	next := 0
 	for i, l := range logs {
 		if l.Type == raft.LogCommand && applyErr == nil {
-			if taken == len(results) {
+			if next == len(results) {
 				applyErr = fmt.Errorf("entry %d of the log: %w", l.Index, err)
 				f.failApply(applyErr)
 			} else {
-				answers[i] = applyResult{result: results[taken]}
-				taken++
+				responses[i] = applyResult{result: results[next]}
+				next++
 			}
 		}
 		if applyErr != nil {
-			answers[i] = applyResult{err: applyErr}
+			responses[i] = applyResult{err: applyErr}
 			continue
 		}
 		if l.Type != raft.LogCommand {
-			answers[i] = applyResult{}
+			responses[i] = applyResult{}
 		}
 		f.noteApplied(l)
 	}
-	return answers
+	return responses
 }
 
 // noteApplied updates the state that depends on which entries have been applied.
--- a/internal/cluster/voter/lease.go
+++ b/internal/cluster/voter/lease.go
@@ -201,10 +201,10 @@
 }
 
 // prove returns nil once a majority, including this voter, has confirmed the term.
-func (prover *leadershipProver) prove(ctx context.Context) error {
+func (p *leadershipProver) prove(ctx context.Context) error {
 	var others []raft.Server
-	voters, own := 0, prover.v.identity()
-	for _, s := range prover.run.raft.GetConfiguration().Configuration().Servers {
+	voters, own := 0, p.v.identity()
+	for _, s := range p.run.raft.GetConfiguration().Configuration().Servers {
 		if s.Suffrage != raft.Voter {
 			continue
 		}
@@ -214,10 +214,10 @@
 	}
 	votes := make(chan bool, len(others))
 	for _, s := range others {
-		prover.askTerm(s, votes)
+		p.askTerm(s, votes)
 	}
 	for confirmed, outstanding := 1, len(others); ; {
-		if prover.run.raft.State() != raft.Leader || prover.run.raft.CurrentTerm() != prover.term {
+		if p.run.raft.State() != raft.Leader || p.run.raft.CurrentTerm() != p.term {
 			return errNotLeader
 		}
 		if confirmed > voters/2 {
@@ -238,26 +238,26 @@
 }
 
 // askTerm asks one voter for its term, unless an earlier request to it is still unanswered. It sends exactly one vote.
-func (prover *leadershipProver) askTerm(s raft.Server, votes chan<- bool) {
-	prover.mu.Lock()
-	defer prover.mu.Unlock()
-	if prover.inFlight[s.ID] {
+func (p *leadershipProver) askTerm(s raft.Server, votes chan<- bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.inFlight[s.ID] {
 		votes <- false
 		return
 	}
-	prover.inFlight[s.ID] = true
-	prover.calls.Add(1)
+	p.inFlight[s.ID] = true
+	p.calls.Add(1)
 	go func() {
-		defer prover.calls.Done()
-		ctx, cancel := context.WithTimeout(prover.v.ctx, termCallTimeout)
+		defer p.calls.Done()
+		ctx, cancel := context.WithTimeout(p.v.ctx, termCallTimeout)
 		defer cancel()
 		name, identity := link.Split(s.Address)
 		var reply termReply
-		err := prover.v.peers.call(ctx, name, http.MethodGet, "/v1/term", nil, &reply)
-		prover.mu.Lock()
-		prover.inFlight[s.ID] = false
-		prover.mu.Unlock()
-		votes <- err == nil && reply.Identity == identity && reply.Cluster == prover.run.cluster && reply.Term > 0 && reply.Term <= prover.term
+		err := p.v.peers.call(ctx, name, http.MethodGet, "/v1/term", nil, &reply)
+		p.mu.Lock()
+		p.inFlight[s.ID] = false
+		p.mu.Unlock()
+		votes <- err == nil && reply.Identity == identity && reply.Cluster == p.run.cluster && reply.Term > 0 && reply.Term <= p.term
 	}()
 }
 
