--- a/internal/cluster/voter/bench_test.go
+++ b/internal/cluster/voter/bench_test.go
@@ -13,7 +13,7 @@
 	"burlpass/internal/record"
 )
 
-// report gives quantiles in milliseconds.
+// report adds quantiles in milliseconds to a benchmark's metrics.
 func report(b *testing.B, name string, all []time.Duration) {
 	slices.Sort(all)
 	ms := func(q float64) float64 {
@@ -25,7 +25,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkFsync is what the disk takes for 4 KiB that are there for good.
+// BenchmarkFsync measures how long the disk takes to write and sync 4 KiB.
 func BenchmarkFsync(b *testing.B) {
 	f, err := os.Create(filepath.Join(b.TempDir(), "f"))
 	if err != nil {
@@ -35,47 +35,48 @@
 	page := make([]byte, 4096)
 	var all []time.Duration
 	for i := range 2000 {
-		began := time.Now()
+		start := time.Now()
 		if _, err := f.WriteAt(page, int64(i%64)*4096); err != nil {
 			b.Fatal(err)
 		}
 		if err := f.Sync(); err != nil {
 			b.Fatal(err)
 		}
-		all = append(all, time.Since(began))
+		all = append(all, time.Since(start))
 	}
 	report(b, "fsync", all)
 }
 
-// BenchmarkWrites has five voters agree on 500 writes a second for 10 s, handed in at all of them by turns. A write's time
-// counts from when it was due.
+// BenchmarkWrites measures the latency of 500 writes per second for 10 s with five voters, sent to the leader or to all voters
+// in turn. A write's latency counts from the time when it was due.
 func BenchmarkWrites(b *testing.B) {
 	const rate, seconds = 500, 10
 	c := newCluster(b, 5)
 	c.open()
 	leader := c.leader()
 	for name, at := range map[string][]*node{"leader": {leader}, "all": c.nodes} {
-		took := make([]time.Duration, rate*seconds)
+		latencies := make([]time.Duration, rate*seconds)
 		var done sync.WaitGroup
-		began := time.Now()
-		for i := range took {
-			due := began.Add(time.Duration(i) * time.Second / rate)
+		start := time.Now()
+		for i := range latencies {
+			due := start.Add(time.Duration(i) * time.Second / rate)
 			time.Sleep(time.Until(due))
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				if r, err := at[i%len(at)].v.Write(context.Background(), order(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)); err != nil || r.Outcome != record.Applied {
+				if r, err := at[i%len(at)].v.Write(context.Background(), disableOrder(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)); err != nil || r.Outcome != record.Applied {
 					b.Error(r, err)
 				}
-				took[i] = time.Since(due)
+				latencies[i] = time.Since(due)
 			}()
 		}
 		done.Wait()
-		report(b, name, took)
+		report(b, name, latencies)
 	}
 }
 
-// BenchmarkFailover takes the leader off 20 times, and counts until a write through another voter is acknowledged.
+// BenchmarkFailover kills or closes the leader 20 times, and measures the time until a write through another voter is
+// acknowledged.
 func BenchmarkFailover(b *testing.B) {
 	c := newCluster(b, 5)
 	c.open()
@@ -84,15 +85,15 @@
 		for i := range 20 {
 			leader := c.leader()
 			leader.write(fmt.Sprint(name, "-", i), fmt.Sprint(name, "-", i), 0)
-			began := time.Now()
+			start := time.Now()
 			gone := make(chan struct{})
 			go func() { defer close(gone); end(leader) }()
-			c.eventually("it is off", func() bool { return leader.mux.Load() == nil })
+			c.eventually("the old leader is down", func() bool { return leader.mux.Load() == nil })
 			c.others(leader)[0].write(fmt.Sprint(name, i), fmt.Sprint(name, i), 0)
-			all = append(all, time.Since(began))
+			all = append(all, time.Since(start))
 			<-gone
 			leader.open()
-			c.eventually("it is back", func() bool {
+			c.eventually("the old leader is back", func() bool {
 				s := leader.v.Status()
 				return s.Leader != "" && leader.v.Replica() != nil
 			})
--- a/internal/cluster/voter/damage_test.go
+++ b/internal/cluster/voter/damage_test.go
@@ -14,17 +14,17 @@
 	"burlpass/internal/record"
 )
 
-// isFailed waits until a node has failed, and checks what it then says.
-func (d *node) isFailed(why string) {
+// waitFailed waits until a node has failed, and checks its status, its log, and that it refuses reads and writes.
+func (d *node) waitFailed(why string) {
 	d.c.t.Helper()
 	d.c.eventually(d.peer.Name+" has failed", func() bool { return d.v.Status().State == "failed" })
 	if s := d.v.Status(); !strings.Contains(s.Fault, why) || strings.Contains(s.Fault, "\n") {
-		d.c.t.Fatalf("%q, and %q is expected", s.Fault, why)
+		d.c.t.Fatalf("fault %q, expected %q", s.Fault, why)
 	}
-	if n := d.lines.count("cluster_disk"); n != 1 {
-		d.c.t.Fatalf("%d lines", n)
+	if n := d.logs.count("cluster_disk"); n != 1 {
+		d.c.t.Fatalf("cluster_disk logged %d times", n)
 	}
-	if _, err := d.v.Write(context.Background(), order("x", "x", 0)); !errors.Is(err, api.ErrRefused) {
+	if _, err := d.v.Write(context.Background(), disableOrder("x", "x", 0)); !errors.Is(err, api.ErrRefused) {
 		d.c.t.Fatal(err)
 	}
 	for _, consistent := range []bool{true, false} {
@@ -34,13 +34,13 @@
 	}
 }
 
-// TestFlippedEntry flips a bit of an entry on a closed voter's disk. It takes no part any more, and the others go on.
-func TestFlippedEntry(t *testing.T) {
+// TestCorruptEntry changes a bit of a log entry on a closed voter's disk. The voter must fail, and the others go on.
+func TestCorruptEntry(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	c.nodes[0].write("a", "the-worker-in-question", 0)
 	d := c.others(c.leader())[0]
-	d.has("the-worker-in-question")
+	d.waitShows("the-worker-in-question")
 	d.close()
 	path := filepath.Join(d.folder, "raft.db")
 	b, err := os.ReadFile(path)
@@ -49,26 +49,26 @@
 	}
 	text := []byte("the-worker-in-question")
 	if !bytes.Contains(b, text) {
-		t.Fatal("the entry is not there")
+		t.Fatal("the log file does not contain the entry")
 	}
 	if err := os.WriteFile(path, bytes.ReplaceAll(b, text, []byte("the-worker-in-juestion")), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d.open()
-	d.isFailed("checksum")
+	d.waitFailed("checksum")
 	others := c.others(d)
 	others[0].write("b", "w", 0)
-	others[1].has("w")
-	// An emptied folder is the way back.
+	others[1].waitShows("w")
+	// With an emptied folder the voter joins again.
 	d.close()
 	d.wipe()
 	d.open()
-	c.votes(d, others...)
-	d.has("the-worker-in-question", "w")
+	c.waitVoter(d, others...)
+	d.waitShows("the-worker-in-question", "w")
 }
 
-// TestDiskTakesNoMore has the disks of a follower and then of the leader refuse to write, while the process lives on.
-func TestDiskTakesNoMore(t *testing.T) {
+// TestDiskFull makes writes fail on the disk of a follower and then of the leader, while the processes go on.
+func TestDiskFull(t *testing.T) {
 	full := func(op string) error {
 		if strings.HasPrefix(op, "write") {
 			return errors.New("no space left on device")
@@ -81,53 +81,54 @@
 	follower := c.others(leader)[0]
 	follower.v.disk.Store.Interpose(full)
 	leader.write("a", "w1", 0)
-	follower.isFailed("no space left")
+	follower.waitFailed("no space left")
 	leader.v.disk.Store.Interpose(full)
-	if _, err := leader.v.Write(context.Background(), order("b", "w2", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
+	if _, err := leader.v.Write(context.Background(), disableOrder("b", "w2", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
 		t.Fatal(err)
 	}
-	leader.isFailed("no space left")
+	leader.waitFailed("no space left")
 	for _, d := range c.nodes {
 		if d != leader && d != follower {
 			d.write("b", "w2", 0)
 		}
 	}
 	if len(follower.v.Replica().View().Hash()) == 0 {
-		t.Fatal("what it has shown is gone")
+		t.Fatal("a failed voter no longer shows its last state")
 	}
 }
 
-// TestLeadersDiskHangs has a write to the leader's disk hang: another voter leads, and it follows once the disk is back.
+// TestLeadersDiskHangs blocks a write to the leader's disk. Another voter must become leader, and the old leader must follow
+// it once the write returns.
 func TestLeadersDiskHangs(t *testing.T) {
 	c := newCluster(t, 3)
-	c.timings = Timings{Stall: 200 * time.Millisecond, Heartbeat: time.Second, Lease: time.Second} // a busy machine elects nobody before
+	c.timings = Timings{DiskStall: 200 * time.Millisecond, Heartbeat: time.Second, LeaderLease: time.Second} // long enough to avoid elections on a busy machine
 	c.open()
 	leader := c.leader()
-	back := make(chan struct{})
+	resume := make(chan struct{})
 	leader.v.disk.Store.Interpose(func(op string) error {
 		if strings.HasPrefix(op, "write") {
-			<-back
+			<-resume
 		}
 		return nil
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := leader.v.Write(ctx, order("a", "w", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
+	if _, err := leader.v.Write(ctx, disableOrder("a", "w", 0)); !errors.Is(err, api.ErrUnknown) && !errors.Is(err, api.ErrRefused) {
 		t.Error(err)
 	}
-	c.eventually("the leader says that its disk hangs", func() bool { return leader.lines.count("cluster_disk_slow") > 0 })
+	c.eventually("the leader logs that its disk hangs", func() bool { return leader.logs.count("cluster_disk_slow") > 0 })
 	others := c.others(leader)
 	c.leader(others...)
 	others[0].write("b", "w2", 0)
-	close(back)
-	leader.has("w2")
-	if n := leader.lines.count("cluster_disk_slow"); n != 1 {
-		t.Fatalf("%d lines", n)
+	close(resume)
+	leader.waitShows("w2")
+	if n := leader.logs.count("cluster_disk_slow"); n != 1 {
+		t.Fatalf("cluster_disk_slow logged %d times", n)
 	}
 }
 
-// TestElectionOnABadDisk has a voter's disk fail where raft itself would panic: when it keeps a new term.
-func TestElectionOnABadDisk(t *testing.T) {
+// TestDiskFailsDuringElection makes a voter's disk fail while it stores a new term, where raft itself would panic.
+func TestDiskFailsDuringElection(t *testing.T) {
 	c := newCluster(t, 3)
 	c.open()
 	leader := c.leader()
@@ -139,28 +140,28 @@
 		return nil
 	})
 	leader.kill()
-	bad.isFailed("input/output error")
+	bad.waitFailed("input/output error")
 	leader.open()
 	good.write("a", "w", 0)
 }
 
-// TestNewerFormat has an entry in the log that this program does not read.
-func TestNewerFormat(t *testing.T) {
+// TestNewerEntryFormat puts an entry of an unknown format into the log.
+func TestNewerEntryFormat(t *testing.T) {
 	c := newCluster(t, 1)
 	c.open()
 	d := c.nodes[0]
 	d.write("a", "w", 0)
-	if _, err := d.v.propose(context.Background(), d.v.running(), []byte(`{"f":99,"write":{}}`)); !errors.Is(err, api.ErrUnknown) {
+	if _, err := d.v.propose(context.Background(), d.v.currentRun(), []byte(`{"f":99,"write":{}}`)); !errors.Is(err, api.ErrUnknown) {
 		t.Fatal(err)
 	}
-	d.isFailed("format 99")
+	d.waitFailed("format 99")
 	d.close()
-	d.lines.mu.Lock()
-	d.lines.text.Reset()
-	d.lines.mu.Unlock()
-	d.open() // again it stops there
-	d.isFailed("format 99")
+	d.logs.mu.Lock()
+	d.logs.text.Reset()
+	d.logs.mu.Unlock()
+	d.open() // it fails again at that entry
+	d.waitFailed("format 99")
 	if r := d.v.Replica(); r != nil && r.View().Version() < record.Version(1) {
-		t.Fatal("it shows an older state")
+		t.Fatal("the voter shows an older state")
 	}
 }
--- a/internal/cluster/voter/fsm.go
+++ b/internal/cluster/voter/fsm.go
@@ -17,93 +17,93 @@
 	"burlpass/internal/record"
 )
 
-// fsm hands what was committed to the replica. It tells when the replica may be shown: a state that a start has brought
-// back may be older than what was shown before it.
+// fsm is raft's state machine: it applies committed entries to the replica. It also decides when the replica may be shown,
+// because a state restored at a restart may be older than the state shown before it.
 type fsm struct {
-	replica *replica.Replica
-	own     string // identity
-	clocks  *clocks
-	fail    func(error)
-	caught  func() // is called once what the disk held at the start has been applied, if that is ever known
-
-	mu      sync.Mutex
-	held    disk.Held // by the disk at the start
-	base    record.Version
-	running bool // raft has restored what it restores at its start
-	index   uint64
-	newer   bool // an entry of a later term than the disk held has been applied
-	votes   bool // this identity has a vote by a committed configuration
-	shown   bool
-	broken  error
-	newest  time.Time // what is applied was surely the newest then; zero where no clock entry has told
-}
-
-// applied is what an entry's future answers.
-type applied struct {
+	replica     *replica.Replica
+	ownIdentity string // this voter's identity
+	clock       *clockHistory
+	fail        func(error)
+	onCaughtUp  func() // called once everything that was stored at the start is known to be applied
+
+	mu              sync.Mutex
+	stored          disk.Contents  // on the disk at the start
+	snapshotVersion record.Version // version of the snapshot restored at the start
+	restored        bool           // raft has finished restoring its state at the start
+	appliedIndex    uint64
+	newerTerm       bool // an entry of a later term than the stored ones has been applied
+	hasVote         bool // a committed configuration gives this identity a vote
+	visible         bool
+	applyErr        error
+	freshAsOf       time.Time // the applied state was known to be the latest at this time; zero before the first clock entry
+}
+
+// applyResult is the response of an entry's raft future.
+type applyResult struct {
 	result record.Result
 	err    error
 }
 
 var _ raft.BatchingFSM = (*fsm)(nil)
 
-// hold says what the disk held, before raft starts.
-func (f *fsm) hold(h disk.Held) {
+// setStored sets what the disk holds. It is called before raft starts.
+func (f *fsm) setStored(h disk.Contents) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = h
+	f.stored = h
 }
 
-// started says that raft has started on what the disk held.
+// started is called once raft has started and restored its snapshot.
 func (f *fsm) started() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.running {
-		f.running = true
-		f.look()
+	if !f.restored {
+		f.restored = true
+		f.updateVisible()
 	}
 }
 
-// look decides whether the state may be shown from now on. It is called under mu.
-func (f *fsm) look() {
+// updateVisible decides whether the state may be shown from now on. The caller holds mu.
+func (f *fsm) updateVisible() {
 	switch {
-	case f.shown || !f.running:
-	case f.held.Last == 0: // nothing was shown by this disk, and an empty state is old where a cluster has one
-		f.shown = f.votes
+	case f.visible || !f.restored:
+	case f.stored.Last == 0: // an empty disk has shown nothing before, but its empty state may be outdated without a vote
+		f.visible = f.hasVote
 	default:
-		if f.shown = f.newer || f.replica.Version() >= f.base+record.Version(f.held.Commands); f.shown {
-			f.caught()
+		if f.visible = f.newerTerm || f.replica.Version() >= f.snapshotVersion+record.Version(f.stored.Commands); f.visible {
+			f.onCaughtUp()
 		}
 	}
 }
 
-func (f *fsm) shows() bool {
+func (f *fsm) isVisible() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.shown
+	return f.visible
 }
 
-// voter tells whether this identity has a vote by what was committed.
-func (f *fsm) voter() bool {
+// votes reports whether the committed configuration gives this identity a vote.
+func (f *fsm) votes() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.votes
+	return f.hasVote
 }
 
-// arrive says that this identity has a vote by a snapshot.
-func (f *fsm) arrive() {
+// setHasVote records that a snapshot's configuration gives this identity a vote.
+func (f *fsm) setHasVote() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.votes = true
-	f.look()
+	f.hasVote = true
+	f.updateVisible()
 }
 
-// age tells how long ago the state was surely the newest. It is unknown until a clock entry of this start has told: between two
-// starts there is only the machine's clock, which may be wrong by any time.
+// age returns how long ago the state was known to be the latest. It is unknown until a clock entry proposed since this start
+// is applied: across restarts there is only the machine's clock, which may be wrong by any amount.
 func (f *fsm) age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.newest.IsZero() {
-		return time.Since(f.newest)
+	if !f.freshAsOf.IsZero() {
+		return time.Since(f.freshAsOf)
 	}
 	return api.AgeUnknown
 }
@@ -111,11 +111,11 @@
 // Apply implements raft.FSM.
 func (f *fsm) Apply(l *raft.Log) any { return f.ApplyBatch([]*raft.Log{l})[0] }
 
-// ApplyBatch implements raft.BatchingFSM. At a start the batches are large, and their entries are decoded on all cores.
+// ApplyBatch implements raft.BatchingFSM. At a start the batches are large, and the replica decodes their entries on all cores.
 func (f *fsm) ApplyBatch(logs []*raft.Log) []any {
-	answers := make([]any, len(logs))
+	responses := make([]any, len(logs))
 	f.mu.Lock()
-	broken := f.broken
+	applyErr := f.applyErr
 	f.mu.Unlock()
 	var raw [][]byte
 	for _, l := range logs {
@@ -125,55 +125,55 @@
 	}
 	var results []record.Result
 	var err error
-	if broken == nil {
+	if applyErr == nil {
 		results, err = f.replica.ApplyAll(raw)
 	}
-	taken := 0
+	next := 0
 	for i, l := range logs {
-		if l.Type == raft.LogCommand && broken == nil {
-			if taken == len(results) {
-				broken = fmt.Errorf("entry %d of the log: %w", l.Index, err)
-				f.breaks(broken)
+		if l.Type == raft.LogCommand && applyErr == nil {
+			if next == len(results) {
+				applyErr = fmt.Errorf("entry %d of the log: %w", l.Index, err)
+				f.failApply(applyErr)
 			} else {
-				answers[i] = applied{result: results[taken]}
-				taken++
+				responses[i] = applyResult{result: results[next]}
+				next++
 			}
 		}
-		if broken != nil {
-			answers[i] = applied{err: broken}
+		if applyErr != nil {
+			responses[i] = applyResult{err: applyErr}
 			continue
 		}
 		if l.Type != raft.LogCommand {
-			answers[i] = applied{}
+			responses[i] = applyResult{}
 		}
-		f.after(l)
+		f.noteApplied(l)
 	}
-	return answers
+	return responses
 }
 
-// after takes note of an entry that has been applied.
-func (f *fsm) after(l *raft.Log) {
-	var told time.Time
+// noteApplied updates the state that depends on which entries have been applied.
+func (f *fsm) noteApplied(l *raft.Log) {
+	var readingTime time.Time
 	if l.Type == raft.LogCommand {
-		told = f.told(l.Data)
+		readingTime = f.readingTime(l.Data)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Type == raft.LogConfiguration {
-		f.votes = votes(raft.DecodeConfiguration(l.Data), f.own)
+		f.hasVote = isVoter(raft.DecodeConfiguration(l.Data), f.ownIdentity)
 	}
-	f.index = l.Index
-	f.newer = f.newer || l.Term > f.held.Term
-	if told.After(f.newest) {
-		f.newest = told
+	f.appliedIndex = l.Index
+	f.newerTerm = f.newerTerm || l.Term > f.stored.Term
+	if readingTime.After(f.freshAsOf) {
+		f.freshAsOf = readingTime
 	}
-	f.look()
+	f.updateVisible()
 }
 
-// told is when this voter's clock gave the reading that an entry has of it; zero where it has none. What was committed by then
-// comes before that entry, for it was appended later.
-func (f *fsm) told(raw []byte) time.Time {
-	if !bytes.Contains(raw, []byte(f.own)) {
+// readingTime returns when this voter took the clock reading in a clock entry, or zero if the entry has none from it. The
+// entry was appended after the reading, so everything committed by that time precedes it in the log.
+func (f *fsm) readingTime(raw []byte) time.Time {
+	if !bytes.Contains(raw, []byte(f.ownIdentity)) {
 		return time.Time{}
 	}
 	e, err := record.Decode(raw)
@@ -181,21 +181,23 @@
 		return time.Time{}
 	}
 	for _, r := range e.Clock.Readings {
-		if r.Voter == f.own {
-			return f.clocks.at(r.Ms)
+		if r.Voter == f.ownIdentity {
+			return f.clock.takenTime(r.Ms)
 		}
 	}
 	return time.Time{}
 }
 
-func (f *fsm) breaks(err error) {
+// failApply stops the application of entries and reports the fault.
+func (f *fsm) failApply(err error) {
 	f.mu.Lock()
-	f.broken = err
+	f.applyErr = err
 	f.mu.Unlock()
 	f.fail(err)
 }
 
-func votes(c raft.Configuration, identity string) bool {
+// isVoter reports whether an identity has a vote in a configuration.
+func isVoter(c raft.Configuration, identity string) bool {
 	for _, s := range c.Servers {
 		if string(s.ID) == identity {
 			return s.Suffrage == raft.Voter
@@ -204,7 +206,7 @@
 	return false
 }
 
-// holder gives the identity that has a name, and whether it votes; "" for none.
+// holder returns the identity that has a name, or "" if there is none, and whether that identity has a vote.
 func holder(c raft.Configuration, name string) (identity string, votes bool) {
 	for _, s := range c.Servers {
 		if n, id := link.Split(s.Address); n == name && (!votes || s.Suffrage == raft.Voter) {
@@ -214,37 +216,37 @@
 	return identity, votes
 }
 
-// Snapshot implements raft.FSM: the view does not change any more.
+// Snapshot implements raft.FSM. The returned view is immutable.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.broken != nil {
-		return nil, f.broken
+	if f.applyErr != nil {
+		return nil, f.applyErr
 	}
-	return snapshot{f.replica.View()}, nil
+	return fsmSnapshot{f.replica.View()}, nil
 }
 
 // Restore implements raft.FSM.
 func (f *fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	if err := f.replica.Restore(from); err != nil {
-		err = fmt.Errorf("a snapshot does not read: %w", err)
-		f.breaks(err)
+		err = fmt.Errorf("cannot restore snapshot: %w", err)
+		f.failApply(err)
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.running {
-		f.base = f.replica.Version()
+	if !f.restored {
+		f.snapshotVersion = f.replica.Version()
 	}
-	f.look()
+	f.updateVisible()
 	return nil
 }
 
-type snapshot struct{ view record.View }
+type fsmSnapshot struct{ view record.View }
 
 // Persist implements raft.FSMSnapshot.
-func (s snapshot) Persist(to raft.SnapshotSink) error {
+func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
 	if err := record.Save(to, s.view); err != nil {
 		return errors.Join(err, to.Cancel())
 	}
@@ -252,4 +254,4 @@
 }
 
 // Release implements raft.FSMSnapshot.
-func (snapshot) Release() {}
+func (fsmSnapshot) Release() {}
--- a/internal/cluster/voter/lease_test.go
+++ b/internal/cluster/voter/lease_test.go
@@ -12,8 +12,8 @@
 	"burlpass/internal/record"
 )
 
-// limited is a cluster that has one limit for each order in the record.
-func limited(t testing.TB, n int) *cluster {
+// newLimitedCluster opens a cluster with one limit for each order in the record.
+func newLimitedCluster(t testing.TB, n int) *cluster {
 	c := newCluster(t, n)
 	c.limits = func(v record.View) (all []lease.Limit) {
 		v.Each(record.OrderKind, func(i record.Item) bool {
@@ -26,8 +26,8 @@
 	return c
 }
 
-// given asks until something of a limit is given.
-func (d *node) given(h *lease.Holder, id string) int64 {
+// waitGranted sends lease requests until a part of a limit is granted, and returns the amount.
+func (d *node) waitGranted(h *lease.Holder, id string) int64 {
 	d.c.t.Helper()
 	var n int64
 	d.c.eventually("a lease of "+id, func() bool {
@@ -47,39 +47,42 @@
 	return n
 }
 
-func TestLeaderDividesAndTheNextOneKeepsClaims(t *testing.T) {
-	c := limited(t, 3)
+// TestLeasesSurviveFailover kills the leader. The next one must keep the lease of its holder, and must not grant the same amount
+// to another holder before that lease could have expired.
+func TestLeasesSurviveFailover(t *testing.T) {
+	c := newLimitedCluster(t, 3)
 	first := c.leader()
 	first.write("a", "w", 0)
 	l := lease.Limit{ID: "worker/w", Kind: lease.Rate, Amount: 1_000_000}
 	h := lease.NewHolder("p/1", 0)
 	h.Set([]lease.Limit{l})
-	if got := c.others(first)[0].given(h, l.ID); got != l.Leased() {
-		t.Errorf("given through another voter: %d, not %d", got, l.Leased())
+	if got := c.others(first)[0].waitGranted(h, l.ID); got != l.Leased() {
+		t.Errorf("granted through another voter: %d, expected %d", got, l.Leased())
 	}
 	epoch := h.Epoch()
 	first.kill()
 	second := c.leader(c.others(first)...)
 	began := time.Now()
-	c.eventually("another epoch", func() bool { second.given(h, l.ID); return h.Epoch() > epoch })
-	if got := second.given(h, l.ID); got != l.Leased() {
-		t.Errorf("claimed at the next leader: %d, not %d", got, l.Leased())
+	c.eventually("another epoch", func() bool { second.waitGranted(h, l.ID); return h.Epoch() > epoch })
+	if got := second.waitGranted(h, l.ID); got != l.Leased() {
+		t.Errorf("granted by the next leader: %d, expected %d", got, l.Leased())
 	}
 	other := lease.NewHolder("q/1", 0)
 	other.Set([]lease.Limit{l})
-	if second.given(other, l.ID); time.Since(began) < lease.Length-lease.Length/4 {
-		t.Errorf("given to another %v after the election", time.Since(began))
+	if second.waitGranted(other, l.ID); time.Since(began) < lease.Length-lease.Length/4 {
+		t.Errorf("granted to another holder %v after the election", time.Since(began))
 	}
 }
 
-// A leader that is cut off gives nothing: it cannot prove that it leads. Voters without limits refuse.
+// TestLeaseNeedsAMajority isolates the leader: it cannot prove that it still leads, so it must not grant leases. A cluster
+// without limits refuses lease requests.
 func TestLeaseNeedsAMajority(t *testing.T) {
-	c := limited(t, 3)
+	c := newLimitedCluster(t, 3)
 	leader := c.leader()
 	leader.write("a", "w", 0)
 	h := lease.NewHolder("p/1", 0)
 	h.Set([]lease.Limit{{ID: "worker/w", Kind: lease.Rate, Amount: 1_000_000}})
-	leader.given(h, "worker/w")
+	leader.waitGranted(h, "worker/w")
 	c.isolate(leader, true)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -89,7 +92,7 @@
 	c.isolate(leader, false)
 	one := newCluster(t, 1)
 	one.open()
-	if _, err := one.nodes[0].v.Lease(ctx, lease.Ask{Holder: "p", Number: 1}); err == nil || !strings.Contains(err.Error(), "no limits are divided") {
+	if _, err := one.nodes[0].v.Lease(ctx, lease.Ask{Holder: "p", Number: 1}); err == nil || !strings.Contains(err.Error(), "configured without limits") {
 		t.Error(err)
 	}
 }
--- a/internal/cluster/voter/link/link.go
+++ b/internal/cluster/voter/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries raft's traffic between voters over connections that begin as an HTTP request on the cluster's
-// address. Each names the cluster and the identity that it means to reach; who is another one refuses it. So a machine that
-// has lost its disk is never asked as the one that it was.
+// Package link carries raft's traffic between voters. Each connection begins as an HTTP upgrade request on the cluster's
+// address that names the target's cluster and identity, and a voter refuses a request meant for another one. So a voter that
+// has lost its disk never answers under its previous identity.
 package link
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// Path is where a Layer's handler belongs.
+// Path is the URL path of a Layer's handler.
 const Path = "/v1/raft"
 
 const (
@@ -29,61 +29,62 @@
 	headerTo      = "Burlpass-To"
 	headerFrom    = "Burlpass-From"
 
-	mostIncoming = 64 // connections; seven voters hold some thirty of one another
-	mostRefusal  = 512
-	idle         = 2 * time.Minute // until a connection that says nothing is closed
-	writeWithin  = 10 * time.Second
+	maxIncoming     = 64 // connections; each of seven voters gets about thirty from the others
+	maxRefusalBytes = 512
+	idleTimeout     = 2 * time.Minute // of an incoming connection
+	writeTimeout    = 10 * time.Second
 )
 
-// Config of a Layer.
+// Config configures a Layer.
 type Config struct {
-	Cluster  string                   // its id
-	Name     string                   // this voter's
-	Identity string                   // this voter's
-	Address  func(name string) string // host:port of a configured voter, "" for another
+	Cluster  string                   // the cluster's id
+	Name     string                   // this voter's name
+	Identity string                   // this voter's identity
+	Address  func(name string) string // host:port of a configured voter, "" for an unknown name
 	Dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Refused is told of each connection that was refused: by whom, of whom, why.
-	Refused func(by, of, why string)
+	// OnRefused is called for each refused connection, with the voter that refused it, the one that dialled, and the reason.
+	OnRefused func(by, of, reason string)
 }
 
-// Layer is raft's stream layer. It is made anew for every start of raft.
+// Layer implements raft.StreamLayer. Each start of raft needs a new one.
 type Layer struct {
 	c        Config
 	incoming chan net.Conn
 	done     chan struct{}
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool // true for those that came in
-	came   int
-	silent bool
-	closed bool
+	mu            sync.Mutex
+	conns         map[net.Conn]bool // true for incoming connections
+	incomingCount int
+	silent        bool
+	closed        bool
 }
 
-// Address joins a voter's name and identity to what raft takes for its address.
+// Address joins a voter's name and identity to the server address used by raft.
 func Address(name, identity string) raft.ServerAddress {
 	return raft.ServerAddress(name + "/" + identity)
 }
 
-// Split is Address backwards.
+// Split splits a server address made by Address.
 func Split(a raft.ServerAddress) (name, identity string) {
 	name, identity, _ = strings.Cut(string(a), "/")
 	return name, identity
 }
 
-// New returns a Layer that takes connections until it is closed.
+// New returns a Layer that accepts connections until it is closed.
 func New(c Config) *Layer {
 	return &Layer{c: c, incoming: make(chan net.Conn), done: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
+// address is a raft server address as a net.Addr.
 type address string
 
 func (address) Network() string  { return "cluster" }
 func (a address) String() string { return string(a) }
 
-// Addr is this voter's address as raft knows it.
+// Addr returns this voter's raft server address.
 func (l *Layer) Addr() net.Addr { return address(Address(l.c.Name, l.c.Identity)) }
 
-// Accept waits for the next connection.
+// Accept waits for the next incoming connection.
 func (l *Layer) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.incoming:
@@ -93,7 +94,7 @@
 	}
 }
 
-// Close ends all connections, both ways.
+// Close closes all incoming and outgoing connections.
 func (l *Layer) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -103,21 +104,21 @@
 	l.closed = true
 	close(l.done)
 	l.mu.Unlock()
-	l.end()
+	l.closeConns()
 	return nil
 }
 
-// Silence ends all connections and lets none come about, or allows them again.
+// Silence closes all connections and refuses new ones, or allows them again.
 func (l *Layer) Silence(on bool) {
 	l.mu.Lock()
 	l.silent = on
 	l.mu.Unlock()
 	if on {
-		l.end()
+		l.closeConns()
 	}
 }
 
-func (l *Layer) end() {
+func (l *Layer) closeConns() {
 	l.mu.Lock()
 	open := slices.Collect(maps.Keys(l.conns))
 	l.mu.Unlock()
@@ -126,43 +127,43 @@
 	}
 }
 
-// add keeps a connection to be closed with the layer.
-func (l *Layer) add(c net.Conn, came bool) error {
+// add registers a connection, to be closed with the layer. It fails if the layer allows no more connections.
+func (l *Layer) add(c net.Conn, incomingCount bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return net.ErrClosed
 	}
 	if l.silent {
-		return errors.New("silent")
+		return errors.New("connections are disabled at present")
 	}
-	if came && l.came >= mostIncoming {
+	if incomingCount && l.incomingCount >= maxIncoming {
 		return errors.New("too many connections")
 	}
-	if came {
-		l.came++
+	if incomingCount {
+		l.incomingCount++
 	}
-	l.conns[c] = came
+	l.conns[c] = incomingCount
 	return nil
 }
 
-func (l *Layer) drop(c net.Conn) {
+func (l *Layer) remove(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if came, ok := l.conns[c]; ok {
+	if incomingCount, ok := l.conns[c]; ok {
 		delete(l.conns, c)
-		if came {
-			l.came--
+		if incomingCount {
+			l.incomingCount--
 		}
 	}
 }
 
-// ServeHTTP takes a connection from another voter, or refuses it with 421 and why.
+// ServeHTTP accepts a connection from another voter, or refuses it with status 421 and the reason.
 func (l *Layer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from := r.Header.Get(headerFrom)
-	if why := l.refusal(r); why != "" {
-		l.c.Refused(l.c.Name, from, why)
-		http.Error(w, why, http.StatusMisdirectedRequest)
+	if reason := l.checkRequest(r); reason != "" {
+		l.c.OnRefused(l.c.Name, from, reason)
+		http.Error(w, reason, http.StatusMisdirectedRequest)
 		return
 	}
 	raw, buffered, err := http.NewResponseController(w).Hijack()
@@ -170,14 +171,14 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_ = raw.SetDeadline(time.Now().Add(writeWithin))
+	_ = raw.SetDeadline(time.Now().Add(writeTimeout))
 	c := &incoming{Conn: raw, l: l}
 	if buffered.Reader.Buffered() > 0 {
 		raw.Close()
 		return
 	}
 	if err := l.add(c, true); err != nil {
-		l.c.Refused(l.c.Name, from, err.Error())
+		l.c.OnRefused(l.c.Name, from, err.Error())
 		_, _ = io.WriteString(raw, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		raw.Close()
 		return
@@ -197,26 +198,27 @@
 	}
 }
 
-func (l *Layer) refusal(r *http.Request) string {
+// checkRequest returns why a request has to be refused, or "".
+func (l *Layer) checkRequest(r *http.Request) string {
 	h := r.Header
 	switch {
 	case !strings.EqualFold(h.Get("Upgrade"), protocol):
-		return "not the protocol that is spoken here: " + protocol
+		return "unsupported protocol, expected " + protocol
 	case h.Get(headerCluster) != l.c.Cluster:
-		return fmt.Sprintf("another cluster is meant: %.32q, and this is %q", h.Get(headerCluster), l.c.Cluster)
+		return fmt.Sprintf("request for another cluster: %.32q, and this is %q", h.Get(headerCluster), l.c.Cluster)
 	case h.Get(headerTo) != l.c.Identity:
-		return fmt.Sprintf("another identity is meant: %.32q, and this is %q", h.Get(headerTo), l.c.Identity)
+		return fmt.Sprintf("request for another identity: %.32q, and this is %q", h.Get(headerTo), l.c.Identity)
 	}
 	return ""
 }
 
-// Dial connects to the voter at raft's address.
+// Dial connects to the voter with a raft server address.
 func (l *Layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	raw, err := l.dial(to, timeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &outgoing{l: l, to: to, timeout: timeout, conn: raw, used: time.Now()}
+	c := &outgoing{l: l, to: to, timeout: timeout, conn: raw, lastUsed: time.Now()}
 	if err := l.add(c, false); err != nil {
 		raw.Close()
 		return nil, err
@@ -228,11 +230,11 @@
 	name, identity := Split(to)
 	addr := l.c.Address(name)
 	if addr == "" {
-		return nil, fmt.Errorf("%q is no voter of the configuration", name)
+		return nil, fmt.Errorf("%q is not a configured voter", name)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	go func() { // a closing layer waits for no dial
+	go func() { // closing the layer cancels the dial
 		select {
 		case <-l.done:
 			cancel()
@@ -243,9 +245,9 @@
 	if err != nil {
 		return nil, err
 	}
-	until, _ := ctx.Deadline()
-	_ = c.SetDeadline(until)
-	if err := l.greet(c, name, identity); err != nil {
+	deadline, _ := ctx.Deadline()
+	_ = c.SetDeadline(deadline)
+	if err := l.handshake(c, name, identity); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -253,7 +255,8 @@
 	return c, nil
 }
 
-func (l *Layer) greet(c net.Conn, name, identity string) error {
+// handshake sends the upgrade request on a new connection and checks the response.
+func (l *Layer) handshake(c net.Conn, name, identity string) error {
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: Upgrade\r\nUpgrade: %s\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\n\r\n",
 		Path, name, protocol, headerCluster, l.c.Cluster, headerTo, identity, headerFrom, Address(l.c.Name, l.c.Identity))
 	if err != nil {
@@ -265,13 +268,13 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, mostRefusal))
-		why := strings.TrimSpace(string(text))
-		l.c.Refused(name, string(Address(l.c.Name, l.c.Identity)), resp.Status+" "+why)
-		return fmt.Errorf("%s %s", resp.Status, why)
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
+		reason := strings.TrimSpace(string(text))
+		l.c.OnRefused(name, string(Address(l.c.Name, l.c.Identity)), resp.Status+" "+reason)
+		return fmt.Errorf("%s %s", resp.Status, reason)
 	}
 	if r.Buffered() > 0 {
-		return errors.New("it spoke before it was asked")
+		return errors.New("unexpected data after the upgrade response")
 	}
 	return nil
 }
--- a/internal/cluster/voter/link/pipeline.go
+++ b/internal/cluster/voter/link/pipeline.go
@@ -6,9 +6,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// Transport is raft's network transport, whose pipelines cannot keep raft from ending. Raft's own have no room: once its decoder has
-// gone, at the first answer that says no, a sender that has two messages out waits for ever to hand over the third, with it whoever
-// waits for raft's shutdown, and a heartbeat of the old term goes on.
+// Transport is raft's network transport with pipelines that cannot block raft's shutdown. Raft's own pipelines have no buffer:
+// raft's decoder ends at the first negative response, and then a sender with two messages in flight waits forever to hand over
+// the third. That blocks raft's shutdown, and heartbeats of the old term go on.
 type Transport struct{ *raft.NetworkTransport }
 
 // AppendEntriesPipeline implements raft.Transport.
@@ -18,12 +18,12 @@
 		return nil, err
 	}
 	p := &pipeline{AppendPipeline: inner, out: make(chan raft.AppendFuture), closed: make(chan struct{})}
-	go p.carry()
+	go p.forward()
 	return p, nil
 }
 
-// pipeline takes what is answered from raft's own at once. How much it holds is bounded by the sender: that looks for the decoder's end
-// between two messages.
+// pipeline takes responses from raft's own pipeline at once and queues them. The sender bounds the queue, since it checks for
+// the decoder's end between two messages.
 type pipeline struct {
 	raft.AppendPipeline
 	out    chan raft.AppendFuture
@@ -40,19 +40,20 @@
 	return p.AppendPipeline.Close()
 }
 
-func (p *pipeline) carry() {
-	var held []raft.AppendFuture
+// forward moves responses from raft's pipeline through the queue to the consumer.
+func (p *pipeline) forward() {
+	var queue []raft.AppendFuture
 	for {
 		var out chan<- raft.AppendFuture
 		var first raft.AppendFuture
-		if len(held) > 0 {
-			out, first = p.out, held[0]
+		if len(queue) > 0 {
+			out, first = p.out, queue[0]
 		}
 		select {
 		case f := <-p.AppendPipeline.Consumer():
-			held = append(held, f)
+			queue = append(queue, f)
 		case out <- first:
-			held = held[1:]
+			queue = queue[1:]
 		case <-p.closed:
 			return
 		}
--- a/internal/cluster/voter/restart_test.go
+++ b/internal/cluster/voter/restart_test.go
@@ -16,7 +16,7 @@
 
 const restartRecords = 100_000
 
-// fill has 200 writers set an item each time, by the voter that leads.
+// fill writes the given number of items through the leader, with 200 concurrent writers.
 func (c *cluster) fill(records int) {
 	leader := c.leader()
 	var done sync.WaitGroup
@@ -26,8 +26,8 @@
 			defer done.Done()
 			for i := range records / 200 {
 				worker := fmt.Sprint("w", w, "-", i)
-				base := leader.v.Replica().View().Version() // its results are remembered
-				if r, err := leader.v.Write(context.Background(), order("id-"+worker, worker, base)); err != nil || r.Outcome != record.Applied {
+				base := leader.v.Replica().View().Version() // recent: an old base is refused as Forgotten
+				if r, err := leader.v.Write(context.Background(), disableOrder("id-"+worker, worker, base)); err != nil || r.Outcome != record.Applied {
 					c.t.Error(r, err)
 					return
 				}
@@ -37,16 +37,17 @@
 	done.Wait()
 }
 
-func heap() int {
+// heapBytes returns the size of the live heap.
+func heapBytes() int {
 	runtime.GC()
-	runtime.GC() // what a finalizer let go
+	runtime.GC() // frees what finalizers released
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return int(s.HeapAlloc)
 }
 
-// onDisk is what a folder's files hold, and of that the newest snapshot.
-func onDisk(b *testing.B, folder string) (all, snapshot int64) {
+// folderSize returns the total size of a folder's files, and the size of its largest snapshot.
+func folderSize(b *testing.B, folder string) (all, snapshot int64) {
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
@@ -67,9 +68,9 @@
 	return all, snapshot
 }
 
-// BenchmarkRestart counts from the start of a voter whose disk holds 100,000 records until it shows all of them: as items in a
-// snapshot, as entries of a log without one, and as snapshots at the usual distance leave them. A voter restarts alone
-// in its cluster, or beside two that run on, or all three of a cluster start again in this one process.
+// BenchmarkRestart measures the time from the start of a voter whose disk holds 100,000 records until it shows all of them. The
+// records are items in a snapshot, entries in a log without a snapshot, or both with the default snapshot threshold. The
+// cluster has a single voter, or one of three voters restarts, or all three restart in this process.
 func BenchmarkRestart(b *testing.B) {
 	for _, held := range []string{"items", "entries", "usual"} {
 		for _, voters := range []string{"alone", "one-of-three", "three"} {
@@ -92,8 +93,8 @@
 	c.fill(restartRecords)
 	if held == "items" {
 		for _, d := range c.nodes {
-			d.has("w0-0", "w199-499")
-			if err := d.v.running().raft.Snapshot().Error(); err != nil {
+			d.waitShows("w0-0", "w199-499")
+			if err := d.v.currentRun().raft.Snapshot().Error(); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -112,25 +113,25 @@
 				d.close()
 			}
 		}
-		before := heap()
-		began := time.Now()
+		before := heapBytes()
+		start := time.Now()
 		for _, d := range c.nodes {
 			if d.v == nil {
 				d.open()
 			}
 		}
-		opened := time.Since(began)
-		c.eventually("all is there", func() bool { return last.v.Status().Version >= want })
-		all = append(all, time.Since(began))
+		opened := time.Since(start)
+		c.eventually("all records are shown", func() bool { return last.v.Status().Version >= want })
+		all = append(all, time.Since(start))
 		if os.Getenv("RESTART_STEPS") != "" {
 			b.Logf("open %v, all %v", opened, all[len(all)-1])
 		}
 		if voters != "three" {
-			b.ReportMetric(float64(heap()-before)/restartRecords, "heap-B/record")
+			b.ReportMetric(float64(heapBytes()-before)/restartRecords, "heap-B/record")
 		}
 	}
 	report(b, "restart", all)
-	disk, snapshot := onDisk(b, last.folder)
+	disk, snapshot := folderSize(b, last.folder)
 	b.ReportMetric(float64(disk)/restartRecords, "disk-B/record")
 	b.ReportMetric(float64(snapshot)/restartRecords, "snapshot-B/record")
 }
