--- a/internal/cluster/voter/disk/check.go
+++ b/internal/cluster/voter/disk/check.go
@@ -47,7 +47,7 @@
 		return contents, err
 	}
 	if first > snapshotIndex+1 {
-		return contents, fmt.Errorf("%w: %s: the log begins at entry %d, but the newest snapshot ends at %d", ErrDamaged, d.Store.path, first, snapshotIndex)
+		return contents, fmt.Errorf("%w: %s: the log begins at %d, and the newest snapshot ends at %d", ErrDamaged, d.Store.path, first, snapshotIndex)
 	}
 	if first > 0 {
 		if err := d.Store.checkEntries(first, last, snapshotIndex, &contents); err != nil {
@@ -56,7 +56,7 @@
 	}
 	// A crash while forming the cluster leaves entry 1 without a term.
 	if term, _ := d.Store.GetUint64([]byte(keyTerm)); term < contents.Term && contents.Last > 1 {
-		return contents, fmt.Errorf("%w: %s: the stored term is %d, but the log has entries of term %d", ErrDamaged, d.Store.path, term, contents.Term)
+		return contents, fmt.Errorf("%w: %s: the term kept is %d, and the log goes to %d", ErrDamaged, d.Store.path, term, contents.Term)
 	}
 	return contents, nil
 }
@@ -94,7 +94,7 @@
 		h := fnv.New64a()
 		h.Write(meta[:metaSize-8])
 		if binary.NativeEndian.Uint32(meta) != metaMagic || h.Sum64() != binary.NativeEndian.Uint64(meta[metaSize-8:]) {
-			return fmt.Errorf("meta page %d is damaged", page)
+			return fmt.Errorf("page %d is not as it was written", page)
 		}
 		if page == 0 {
 			size = int64(binary.NativeEndian.Uint32(meta[pageSizeOffset:]))
@@ -124,7 +124,7 @@
 		var last uint64
 		return b.ForEach(func(k, _ []byte) error {
 			if len(k) != 8 || last > 0 && binary.BigEndian.Uint64(k) != last+1 {
-				return fmt.Errorf("key %x follows entry %d", k, last)
+				return fmt.Errorf("the key %x comes after entry %d", k, last)
 			}
 			last = binary.BigEndian.Uint64(k)
 			return nil
--- a/internal/cluster/voter/disk/snapshots.go
+++ b/internal/cluster/voter/disk/snapshots.go
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(all) < min(complete, retainedSnapshots) {
-		return nil, s.reportFault("list snapshots", fmt.Errorf("%d of %d are unreadable", complete-len(all), complete))
+		return nil, s.reportFault("list snapshots", fmt.Errorf("%d of %d do not read", complete-len(all), complete))
 	}
 	return all, nil
 }
--- a/internal/cluster/voter/disk/store.go
+++ b/internal/cluster/voter/disk/store.go
@@ -147,13 +147,13 @@
 
 // FirstIndex implements raft.LogStore.
 func (s *Store) FirstIndex() (i uint64, err error) {
-	err = s.do("read the first index", func() (err error) { i, err = s.bolt.FirstIndex(); return err })
+	err = s.do("read the log's begin", func() (err error) { i, err = s.bolt.FirstIndex(); return err })
 	return i, err
 }
 
 // LastIndex implements raft.LogStore.
 func (s *Store) LastIndex() (i uint64, err error) {
-	err = s.do("read the last index", func() (err error) { i, err = s.bolt.LastIndex(); return err })
+	err = s.do("read the log's end", func() (err error) { i, err = s.bolt.LastIndex(); return err })
 	return i, err
 }
 
@@ -183,7 +183,7 @@
 		return err
 	}
 	if first <= index && index <= last {
-		return fmt.Errorf("entry %d is missing in a log from %d to %d", index, first, last)
+		return fmt.Errorf("entry %d is missing between %d and %d", index, first, last)
 	}
 	return raft.ErrLogNotFound
 }
@@ -216,7 +216,7 @@
 func stripChecksum(index uint64, l *raft.Log) error {
 	n := len(l.Extensions) - 4
 	if n < 0 || l.Index != index || binary.LittleEndian.Uint32(l.Extensions[n:]) != checksum(index, l, l.Extensions[:n]) {
-		return fmt.Errorf("entry %d has a wrong checksum", index)
+		return fmt.Errorf("entry %d has another checksum than it was written with", index)
 	}
 	if l.Extensions = l.Extensions[:n:n]; n == 0 {
 		l.Extensions = nil
@@ -249,7 +249,7 @@
 func decodeTermAndVote(b []byte) (k termAndVote, err error) {
 	n := len(b) - 4
 	if n < 16 || binary.LittleEndian.Uint32(b[n:]) != crc32.Checksum(b[:n], crc32.MakeTable(crc32.Castagnoli)) {
-		return k, errors.New("the stored term and vote have a wrong checksum")
+		return k, errors.New("the votes have another checksum than they were written with")
 	}
 	k = termAndVote{term: binary.LittleEndian.Uint64(b), voteTerm: binary.LittleEndian.Uint64(b[8:])}
 	if n > 16 {
@@ -281,7 +281,7 @@
 // Set implements raft.StableStore. raft sets a vote's candidate after its term, and both are stored now.
 func (s *Store) Set(key, value []byte) error {
 	if string(key) != keyVoteCand {
-		return fmt.Errorf("raft writes the unknown key %q", key)
+		return fmt.Errorf("raft keeps %q, which is not known here", key)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -303,13 +303,13 @@
 		k.term = v
 		return s.saveTermAndVote(k)
 	}
-	return fmt.Errorf("raft writes the unknown key %q", key)
+	return fmt.Errorf("raft keeps %q, which is not known here", key)
 }
 
 // Get implements raft.StableStore. It returns nil if no vote was ever given.
 func (s *Store) Get(key []byte) ([]byte, error) {
 	if string(key) != keyVoteCand {
-		return nil, fmt.Errorf("raft reads the unknown key %q", key)
+		return nil, fmt.Errorf("raft asks for %q, which is not known here", key)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -326,7 +326,7 @@
 	case keyTerm:
 		return s.saved.term, nil
 	}
-	return 0, fmt.Errorf("raft reads the unknown key %q", key)
+	return 0, fmt.Errorf("raft asks for %q, which is not known here", key)
 }
 
 // close closes the file, but gives up after lockTimeout: bbolt may still hold its locks after a fault.
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -162,13 +162,13 @@
 	reason := ""
 	switch {
 	case request.ClusterName != v.c.Cluster:
-		reason = fmt.Sprintf("this voter belongs to cluster %q", v.c.Cluster)
+		reason = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
 	case request.VotersHash != v.c.votersHash():
-		reason = "the configured voters differ, or their order does"
+		reason = "the voters are others here, or in another order"
 	case request.Name != v.c.Voters[0].Name || v.c.isFirst():
 		reason = fmt.Sprintf("the first voter is %q", v.c.Voters[0].Name)
 	case !disk.ValidID(request.Cluster) || !disk.ValidID(request.Identity):
-		reason = "invalid cluster id or identity"
+		reason = "no ids"
 	}
 	if reason != "" {
 		v.throttled.warn("cluster_claim_refused", "of", request.Name, "why", reason)
@@ -188,11 +188,11 @@
 			return
 		}
 		if !fresh {
-			writeRefusal(w, http.StatusConflict, refusal{Refused: "this disk already holds the state of a cluster", State: true})
+			writeRefusal(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
 			return
 		}
 	} else if state, err := v.hasState(); err != nil || state {
-		writeRefusal(w, http.StatusConflict, refusal{Refused: "this disk already holds the state of a cluster", State: true})
+		writeRefusal(w, http.StatusConflict, refusal{Refused: "the disk here holds the state of a cluster", State: true})
 		return
 	}
 	writeJSON(w, http.StatusOK, claimReply{v.c.Name, v.identity()})
--- a/internal/cluster/voter/fsm.go
+++ b/internal/cluster/voter/fsm.go
@@ -230,7 +230,7 @@
 func (f *fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	if err := f.replica.Restore(from); err != nil {
-		err = fmt.Errorf("cannot restore snapshot: %w", err)
+		err = fmt.Errorf("a snapshot does not read: %w", err)
 		f.failApply(err)
 		return err
 	}
--- a/internal/cluster/voter/join.go
+++ b/internal/cluster/voter/join.go
@@ -91,13 +91,13 @@
 	reason := ""
 	switch {
 	case request.ClusterName != v.c.Cluster:
-		reason = fmt.Sprintf("this voter belongs to cluster %q", v.c.Cluster)
+		reason = fmt.Sprintf("the cluster here is %q", v.c.Cluster)
 	case request.VotersHash != v.c.votersHash():
-		reason = "the configured voters differ, or their order does"
+		reason = "the voters are others here, or in another order"
 	case v.c.address(request.Name) == "" || !disk.ValidID(request.Identity):
-		reason = fmt.Sprintf("%q with identity %.40q is not a configured voter", request.Name, request.Identity)
+		reason = fmt.Sprintf("%q with the identity %.40q is no voter of the configuration", request.Name, request.Identity)
 	case request.Name == v.c.Name:
-		reason = "the request has the name of this voter"
+		reason = "that is my own name"
 	}
 	if reason != "" {
 		writeRefusal(w, http.StatusConflict, refusal{Refused: reason})
@@ -107,7 +107,7 @@
 	defer cancel()
 	run, leader := v.leader()
 	if run == nil || leader == "" {
-		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter knows no leader"})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "no leader is known here"})
 		return
 	}
 	var reply joinReply
@@ -116,7 +116,7 @@
 	case leader == v.c.Name:
 		reply, err = v.admit(ctx, run, request)
 	case r.Header.Get(forwardedHeader) != "":
-		err = errors.New("this voter is not the leader")
+		err = errors.New("not the leader")
 	default:
 		err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/join", request, &reply, true)
 	}
@@ -132,7 +132,7 @@
 // repeated, also by the next leader.
 func (v *Voter) admit(ctx context.Context, run *raftRun, request joinRequest) (joinReply, error) {
 	if !v.admitMu.TryLock() {
-		return joinReply{}, errors.New("another voter is being added")
+		return joinReply{}, errors.New("another voter is being taken in")
 	}
 	defer v.admitMu.Unlock()
 	reply := joinReply{Cluster: run.cluster}
@@ -150,10 +150,10 @@
 	}
 	var clock clockReply
 	if err := v.peers.call(ctx, request.Name, http.MethodGet, "/v1/clock", nil, &clock); err != nil {
-		return reply, fmt.Errorf("the joining voter does not answer at %s: %w", v.c.address(request.Name), err)
+		return reply, fmt.Errorf("you do not answer at %s: %w", v.c.address(request.Name), err)
 	}
 	if clock.Identity != request.Identity || clock.Cluster != run.cluster {
-		return reply, fmt.Errorf("%s answers with identity %.40q of cluster %.40q", v.c.address(request.Name), clock.Identity, clock.Cluster)
+		return reply, fmt.Errorf("at %s answers the identity %.40q of the cluster %.40q", v.c.address(request.Name), clock.Identity, clock.Cluster)
 	}
 	if removed, holder, err := v.wasRemoved(ctx, run, request); err != nil || removed {
 		reply.Replaced, reply.Holder = removed, holder
--- a/internal/cluster/voter/lead.go
+++ b/internal/cluster/voter/lead.go
@@ -114,7 +114,7 @@
 	return run, name
 }
 
-var errNotLeader = errors.New("this voter is not the leader")
+var errNotLeader = errors.New("this voter does not lead")
 
 // verifyLeader confirms with a majority that this voter is still the leader, once everything committed by earlier leaders is
 // applied here.
@@ -191,14 +191,14 @@
 	run, leader := v.leader()
 	switch {
 	case leader == "":
-		return reply, errors.New("this voter knows no leader")
+		return reply, errors.New("no leader is known here")
 	case leader == v.c.Name:
 		return v.readIndex(ctx, run)
 	case forwarded:
 		return reply, errNotLeader
 	}
 	if err = v.peers.forward(ctx, leader, http.MethodGet, "/v1/readindex", nil, &reply, true); err == nil && reply.Cluster != run.cluster {
-		err = errors.New("the voter at the leader's address belongs to another cluster")
+		err = errors.New("the leader's address answers for another cluster")
 	}
 	return reply, err
 }
--- a/internal/cluster/voter/lease.go
+++ b/internal/cluster/voter/lease.go
@@ -54,15 +54,15 @@
 	case failed != nil:
 		err = failed
 	case v.c.Limits == nil:
-		err = errors.New("this cluster is configured without limits")
+		err = errors.New("no limits are divided in this cluster")
 	case leader == "":
-		err = errors.New("this voter knows no leader")
+		err = errors.New("no leader is known here")
 	case leader == v.c.Name:
 		a, err = v.requestLocally(ctx, ask)
 	default:
 		err = v.peers.forward(ctx, leader, http.MethodPost, "/v1/divide", forwardedAsk{run.cluster, ask}, &a, true)
 		if err == nil && a.Number != ask.Number {
-			err = errors.New(leader + ": the answer belongs to another request")
+			err = errors.New(leader + ": an answer to another question")
 		}
 	}
 	if err != nil {
@@ -224,7 +224,7 @@
 			return nil
 		}
 		if outstanding == 0 {
-			return errors.New("no majority confirms that this voter is the leader")
+			return errors.New("no majority says that this voter leads")
 		}
 		select {
 		case granted := <-votes:
@@ -271,7 +271,7 @@
 func (v *Voter) serveTerm(w http.ResponseWriter, _ *http.Request) {
 	run, err := v.currentRun(), v.failure()
 	if run == nil || err != nil {
-		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter does not run raft at present"})
+		writeRefusal(w, http.StatusServiceUnavailable, refusal{Refused: "this voter takes no part in a cluster now"})
 		return
 	}
 	writeJSON(w, http.StatusOK, termReply{run.cluster, v.identity(), run.raft.CurrentTerm()})
--- a/internal/cluster/voter/lease_test.go
+++ b/internal/cluster/voter/lease_test.go
@@ -92,7 +92,7 @@
 	c.isolate(leader, false)
 	one := newCluster(t, 1)
 	one.open()
-	if _, err := one.nodes[0].v.Lease(ctx, lease.Ask{Holder: "p", Number: 1}); err == nil || !strings.Contains(err.Error(), "configured without limits") {
+	if _, err := one.nodes[0].v.Lease(ctx, lease.Ask{Holder: "p", Number: 1}); err == nil || !strings.Contains(err.Error(), "no limits are divided") {
 		t.Error(err)
 	}
 }
--- a/internal/cluster/voter/link/link.go
+++ b/internal/cluster/voter/link/link.go
@@ -203,11 +203,11 @@
 	h := r.Header
 	switch {
 	case !strings.EqualFold(h.Get("Upgrade"), protocol):
-		return "unsupported protocol, expected " + protocol
+		return "not the protocol that is spoken here: " + protocol
 	case h.Get(headerCluster) != l.c.Cluster:
-		return fmt.Sprintf("request for another cluster: %.32q, and this is %q", h.Get(headerCluster), l.c.Cluster)
+		return fmt.Sprintf("another cluster is meant: %.32q, and this is %q", h.Get(headerCluster), l.c.Cluster)
 	case h.Get(headerTo) != l.c.Identity:
-		return fmt.Sprintf("request for another identity: %.32q, and this is %q", h.Get(headerTo), l.c.Identity)
+		return fmt.Sprintf("another identity is meant: %.32q, and this is %q", h.Get(headerTo), l.c.Identity)
 	}
 	return ""
 }
--- a/internal/cluster/voter/peers.go
+++ b/internal/cluster/voter/peers.go
@@ -62,7 +62,7 @@
 func (p *peers) forward(ctx context.Context, name, method, path string, in, out any, forwarded bool) error {
 	addr := p.c.address(name)
 	if addr == "" {
-		return fmt.Errorf("%w: %q is not a configured voter", errNotSent, name)
+		return fmt.Errorf("%w: %q is no voter of the configuration", errNotSent, name)
 	}
 	var body io.Reader
 	if in != nil {
--- a/internal/cluster/voter/place.go
+++ b/internal/cluster/voter/place.go
@@ -88,7 +88,7 @@
 	var err error
 	switch {
 	case run == nil || leader == "":
-		err = errors.New("this voter knows no leader")
+		err = errors.New("no leader is known here")
 	case leader == v.c.Name:
 		reply, err = v.lookUpHolder(ctx, run, request)
 	case r.Header.Get(forwardedHeader) != "":
--- a/internal/cluster/voter/read.go
+++ b/internal/cluster/voter/read.go
@@ -36,7 +36,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, 0, fmt.Errorf("%w: waiting for version %d: %w", api.ErrRefused, index.Version, ctx.Err())
+			return nil, 0, fmt.Errorf("%w: waiting for version %d here: %w", api.ErrRefused, index.Version, ctx.Err())
 		}
 	}
 }
--- a/internal/cluster/voter/replaced.go
+++ b/internal/cluster/voter/replaced.go
@@ -106,5 +106,5 @@
 		by = "the identity " + holder
 	}
 	v.failWith("cluster_replaced_elsewhere", fmt.Errorf("%s: the identity %s was taken out of the cluster, and %s has the name %q now: "+
-		"this voter has no vote; empty the folder and restart it to join again, or leave it stopped", v.c.Folder, identity, by, v.c.Name))
+		"this voter counts for nothing; empty the folder and restart it, so that it joins anew, or leave it down", v.c.Folder, identity, by, v.c.Name))
 }
--- a/internal/cluster/voter/start.go
+++ b/internal/cluster/voter/start.go
@@ -63,7 +63,7 @@
 	})
 	if err != nil {
 		run.transport.Close()
-		return fmt.Errorf("%w: %s: cannot start raft: %w", disk.ErrDamaged, v.c.Folder, err)
+		return fmt.Errorf("%w: %s: raft does not start: %w", disk.ErrDamaged, v.c.Folder, err)
 	}
 	v.fsm.started()
 	observations := make(chan raft.Observation, 64)
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -147,7 +147,7 @@
 		run.layer.ServeHTTP(w, r)
 		return
 	}
-	http.Error(w, "this voter does not run raft at present", http.StatusMisdirectedRequest)
+	http.Error(w, "this voter takes no part in a cluster now", http.StatusMisdirectedRequest)
 }
 
 // notifyChanged wakes all goroutines that wait for a change. The caller holds mu.
--- a/internal/cluster/voter/write.go
+++ b/internal/cluster/voter/write.go
@@ -36,7 +36,7 @@
 		var result record.Result
 		switch {
 		case leader == "":
-			err = fmt.Errorf("%w: this voter knows no leader", api.ErrRefused)
+			err = fmt.Errorf("%w: no leader is known here", api.ErrRefused)
 		case leader == v.c.Name:
 			result, err = v.propose(ctx, run, raw)
 		default:
@@ -101,7 +101,7 @@
 	case err == nil && result.ID == p.Write.ID && result.Outcome != "":
 		return result, nil
 	case err == nil:
-		err = errors.New("the response is not a result of this write")
+		err = errors.New("an answer that is no result")
 	case errors.Is(err, errNotSent), errors.As(err, &refused) && refused.Refused != "" && refused.Unknown == "":
 		return record.Result{}, fmt.Errorf("%w: %s: %w", api.ErrRefused, leader, err)
 	}
--- a/internal/clustertest/mutants/voters.go
+++ b/internal/clustertest/mutants/voters.go
@@ -137,8 +137,8 @@
 	}
 	return nil
 `),
-		edit(file, "	err = s.do(\"read the first index\"", "	s.flush()\n	err = s.do(\"read the first index\""),
-		edit(file, "	err = s.do(\"read the last index\"", "	s.flush()\n	err = s.do(\"read the last index\""),
+		edit(file, "	err = s.do(\"read the log's begin\"", "	s.flush()\n	err = s.do(\"read the log's begin\""),
+		edit(file, "	err = s.do(\"read the log's end\"", "	s.flush()\n	err = s.do(\"read the log's end\""),
 		edit(file, "	return s.do(\"read an entry\"", "	s.flush()\n	return s.do(\"read an entry\""),
 		edit(file, "	return s.write(\"delete entries\"", "	s.flush()\n	return s.write(\"delete entries\""),
 		edit(file, "	go func() { done <- s.bolt.Close() }()\n", "	go func() { s.flush(); done <- s.bolt.Close() }()\n"),
--- a/internal/lease/book.go
+++ b/internal/lease/book.go
@@ -245,13 +245,13 @@
 	h := b.holders[a.Holder]
 	if h == nil {
 		if len(b.holders) >= MostHolders {
-			return fmt.Sprintf("too many lease holders: at most %d are served", len(b.holders))
+			return fmt.Sprintf("%d processes hold leases, and no more are served", len(b.holders))
 		}
 		h = &holderState{name: a.Holder}
 		b.holders[a.Holder] = h
 	}
 	if a.Number <= h.number {
-		return "request is a duplicate or older than the last one"
+		return "an older question, or the same again"
 	}
 	h.number, h.lastSeen, h.tail = a.Number, now, time.Duration(a.TailMs)*time.Millisecond
 	for _, w := range a.Wants {
@@ -263,7 +263,7 @@
 		p := l.allocations[h.name]
 		if p == nil {
 			if b.allocations >= maxAllocations {
-				return fmt.Sprintf("too many leases: at most %d pairs of limit and holder are served", b.allocations)
+				return fmt.Sprintf("%d limits at processes are divided, and no more", b.allocations)
 			}
 			p = &allocation{holder: h}
 			l.allocations[h.name] = p
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -81,21 +81,21 @@
 func (a *Ask) Check() error {
 	switch {
 	case a.Holder == "" || len(a.Holder) > MostName:
-		return fmt.Errorf("holder: must have 1 to %d bytes", MostName)
+		return fmt.Errorf("holder: 1 to %d bytes are expected", MostName)
 	case a.Number == 0:
-		return fmt.Errorf("number: must be at least 1")
+		return fmt.Errorf("number: at least 1 is expected")
 	case a.TailMs < 0 || a.TailMs > MostTail.Milliseconds():
-		return fmt.Errorf("tail_ms: must be 0 to %d", MostTail.Milliseconds())
+		return fmt.Errorf("tail_ms: 0 to %d is expected", MostTail.Milliseconds())
 	case len(a.Wants) > MostWants:
-		return fmt.Errorf("wants: %d entries, at most %d are allowed", len(a.Wants), MostWants)
+		return fmt.Errorf("wants: %d, and at most %d are expected", len(a.Wants), MostWants)
 	}
 	seen := make(map[string]bool, len(a.Wants))
 	for i, w := range a.Wants {
 		switch {
 		case w.ID == "" || len(w.ID) > MostID:
-			return fmt.Errorf("wants[%d].id: must have 1 to %d bytes", i, MostID)
+			return fmt.Errorf("wants[%d].id: 1 to %d bytes are expected", i, MostID)
 		case seen[w.ID]:
-			return fmt.Errorf("wants[%d].id: %.80q is a duplicate", i, w.ID)
+			return fmt.Errorf("wants[%d].id: %.80q is there twice", i, w.ID)
 		}
 		seen[w.ID] = true
 		for _, n := range []struct {
@@ -103,7 +103,7 @@
 			value int64
 		}{{"holds", w.Holds}, {"under", w.Under}, {"demand", w.Demand}} {
 			if n.value < 0 || n.value > MostAmount {
-				return fmt.Errorf("wants[%d].%s: must be 0 to %d", i, n.name, int64(MostAmount))
+				return fmt.Errorf("wants[%d].%s: 0 to %d is expected", i, n.name, int64(MostAmount))
 			}
 		}
 	}
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -17,7 +17,7 @@
 
 // ErrFormat reports bytes in an encoding that this program does not read. The error text names the format version that
 // they claim.
-var ErrFormat = errors.New("record: unknown format")
+var ErrFormat = errors.New("record: not of a format that is known here")
 
 // encodedEntry is an Entry with its format version.
 type encodedEntry struct {
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("%w: format %d: %w", ErrFormat, formatVersion, err)
 	}
 	if (c.Write == nil) == (c.Clock == nil) {
-		return nil, fmt.Errorf("%w: format %d: an entry with neither a write nor a clock, or with both", ErrFormat, formatVersion)
+		return nil, fmt.Errorf("%w: format %d: neither a write nor a clock, or both", ErrFormat, formatVersion)
 	}
 	if err := c.checkText(); err != nil {
 		return nil, fmt.Errorf("%w: format %d: %w", ErrFormat, formatVersion, err)
@@ -114,7 +114,7 @@
 		for offset < len(raw) && offset < len(canonical) && raw[offset] == canonical[offset] {
 			offset++
 		}
-		return fmt.Errorf("not in canonical form from byte %d on", offset)
+		return fmt.Errorf("it is not in the canonical form from byte %d on", offset)
 	}
 	return nil
 }
--- a/internal/record/restore.go
+++ b/internal/record/restore.go
@@ -10,7 +10,7 @@
 
 // ErrState reports a stream that is not a complete state as written by Save. The error text names the line and what is
 // wrong with it.
-var ErrState = errors.New("record: invalid saved state")
+var ErrState = errors.New("record: not a whole saved state")
 
 // Restore reads r to its end and replaces the state by the one that Save has written to it, including its bounds and kinds.
 // On an error the state is unchanged: everything is read and validated first, and the hash is computed anew from what was
@@ -66,7 +66,7 @@
 		return err
 	}
 	if got := m.hash(); !tail.End || got != tail.Hash {
-		return fmt.Errorf("%w: hash mismatch: the trailer has %.64q, the state read has %s", ErrState, tail.Hash, got)
+		return fmt.Errorf("%w: its hash is %.64q, and what was read has %s", ErrState, tail.Hash, got)
 	}
 	return in.expectEOF()
 }
@@ -81,18 +81,18 @@
 	}
 	for i, k := range h.Kinds {
 		if _, ok := m.domains[k]; !ok {
-			return fmt.Errorf("%w: kinds: %.40q is unknown", ErrState, k)
+			return fmt.Errorf("%w: kinds: %.40q is not known here", ErrState, k)
 		}
 		if slices.Contains(h.Kinds[:i], k) {
-			return fmt.Errorf("%w: kinds: duplicate %q", ErrState, k)
+			return fmt.Errorf("%w: kinds: %q is there twice", ErrState, k)
 		}
 	}
 	b := h.Bounds
 	if h.Items < 0 || h.Tombstones < 0 || h.Results < 0 || h.Items > b.Items || h.Tombstones > b.Items || h.Results > b.Results {
-		return fmt.Errorf("%w: %d items, %d tombstones, %d results exceed the bounds", ErrState, h.Items, h.Tombstones, h.Results)
+		return fmt.Errorf("%w: %d items, %d removed, %d results are not within the bounds", ErrState, h.Items, h.Tombstones, h.Results)
 	}
 	if h.Horizon > h.Version || h.TimeMs < 0 {
-		return fmt.Errorf("%w: invalid horizon %d or time %d", ErrState, h.Horizon, h.TimeMs)
+		return fmt.Errorf("%w: horizon %d, time %d", ErrState, h.Horizon, h.TimeMs)
 	}
 	m.state = newState(h.params)
 	m.version, m.time, m.horizon = h.Version, h.TimeMs, h.Horizon
@@ -110,17 +110,17 @@
 	}
 	d, ok := m.domain(item.Kind)
 	if !ok {
-		return fmt.Errorf("%w: kind %.40q is not in the header", ErrState, item.Kind)
+		return fmt.Errorf("%w: kind %.40q is none of the head's", ErrState, item.Kind)
 	}
 	item.Kind = d.Kind() // share one string between all items
 	if err := m.checkKeyAndVersion(item.Key, item.Version, 0); err != nil {
 		return err
 	}
 	if prev, ok := m.items.byKey.Max(); ok && !lessItem(prev, item) {
-		return fmt.Errorf("%w: the items are out of order", ErrState)
+		return fmt.Errorf("%w: the items are not in order", ErrState)
 	}
 	if len(item.Value) > m.params.Bounds.ValueBytes || string(item.Value) == "null" {
-		return fmt.Errorf("%w: a value of %d bytes, too long or null", ErrState, len(item.Value))
+		return fmt.Errorf("%w: a value of %d bytes", ErrState, len(item.Value))
 	}
 	if err := recoverPanic(func() error { item.endMs = d.Ends(item.Key, item.Value); return nil }); err != nil {
 		return fmt.Errorf("%w: %w", ErrState, err)
@@ -130,7 +130,7 @@
 		m.items.byEnd.ReplaceOrInsert(item)
 	}
 	if m.items.bytes > m.params.Bounds.ItemBytes {
-		return fmt.Errorf("%w: the items exceed the bound on bytes", ErrState)
+		return fmt.Errorf("%w: the items have too many bytes", ErrState)
 	}
 	return nil
 }
@@ -148,10 +148,10 @@
 		return err
 	}
 	if prev, ok := m.items.tombstone.Max(); ok && !lessTombstone(prev, t) {
-		return fmt.Errorf("%w: the tombstones are out of order", ErrState)
+		return fmt.Errorf("%w: the removed items are not in order", ErrState)
 	}
 	if _, exists := m.items.get(t.Kind, t.Key); exists || !slices.Contains(m.params.Kinds, t.Kind) {
-		return fmt.Errorf("%w: tombstone of %.40q %.40q, which exists or is of an unlisted kind", ErrState, t.Kind, t.Key)
+		return fmt.Errorf("%w: %.40q %.40q cannot be a removed item", ErrState, t.Kind, t.Key)
 	}
 	m.items.addTombstone(t)
 	return nil
@@ -167,13 +167,13 @@
 		return err
 	}
 	if !validID(r.ID) || r.Again || r.Version == 0 || r.Version > m.version {
-		return fmt.Errorf("%w: invalid result with id %.64q, version %d", ErrState, r.ID, r.Version)
+		return fmt.Errorf("%w: a result of id %.64q, version %d", ErrState, r.ID, r.Version)
 	}
 	if prev, ok := m.results.byVersion.Max(); ok && prev.Version >= r.Version {
-		return fmt.Errorf("%w: the results are out of order", ErrState)
+		return fmt.Errorf("%w: the results are not in order", ErrState)
 	}
 	if _, exists := m.results.get(r.ID); exists {
-		return fmt.Errorf("%w: duplicate result with id %q", ErrState, r.ID)
+		return fmt.Errorf("%w: a second result of id %q", ErrState, r.ID)
 	}
 	for i := range r.Newer {
 		if string(r.Newer[i].Value) == "null" { // no item has the value null: the value was omitted
@@ -181,7 +181,7 @@
 		}
 	}
 	if m.results.add(r, m.params.Bounds) != 0 {
-		return fmt.Errorf("%w: the results exceed their bounds", ErrState)
+		return fmt.Errorf("%w: the results have too many bytes", ErrState)
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 		return fmt.Errorf("%w: %w", ErrState, err)
 	}
 	if version <= after || version > m.version {
-		return fmt.Errorf("%w: invalid item version %d", ErrState, version)
+		return fmt.Errorf("%w: version %d of an item", ErrState, version)
 	}
 	return nil
 }
@@ -229,13 +229,13 @@
 	for {
 		part, err := l.r.ReadSlice('\n')
 		if l.line = append(l.line, part...); len(l.line) > l.maxBytes+1 {
-			return nil, fmt.Errorf("%w: the line is longer than %d bytes", ErrState, l.maxBytes)
+			return nil, fmt.Errorf("%w: longer than %d bytes", ErrState, l.maxBytes)
 		}
 		switch {
 		case err == nil:
 			return l.line[:len(l.line)-1], nil
 		case errors.Is(err, io.EOF):
-			return nil, fmt.Errorf("%w: unexpected end of input", ErrState)
+			return nil, fmt.Errorf("%w: it is cut off here", ErrState)
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
 		}
@@ -247,7 +247,7 @@
 	switch _, err := l.r.ReadByte(); {
 	case err == nil:
 		l.lineNumber++
-		return fmt.Errorf("%w: data after the last line", ErrState)
+		return fmt.Errorf("%w: something follows its last line", ErrState)
 	case !errors.Is(err, io.EOF):
 		return err
 	}
--- a/internal/record/save.go
+++ b/internal/record/save.go
@@ -31,7 +31,7 @@
 func Save(w io.Writer, v View) error {
 	s, ok := v.(*view)
 	if !ok {
-		return fmt.Errorf("record: cannot save a %T, only a view returned by Machine.View", v)
+		return fmt.Errorf("record: a %T cannot be saved, only what a machine gave", v)
 	}
 	out := bufio.NewWriterSize(w, 64<<10)
 	enc := json.NewEncoder(out) // terminates each value with a newline
