--- a/decide/health.go
+++ b/decide/health.go
@@ -104,7 +104,7 @@
 		len(other.active.members) == 0 {
 		return
 	}
-	b.log("tier of rank %d does not answer while another tier does: ejecting all %d servers",
+	b.log("tier of rank %d: no answer while another answers, all %d ejected",
 		b.rank(t), len(t.active.members))
 	for len(t.active.members) > 0 {
 		b.eject(t.active.members[len(t.active.members)-1], baseEjection)
--- a/decide/load.go
+++ b/decide/load.go
@@ -67,7 +67,7 @@
 	}
 	if pressure > 0 != b.shedding && b.now >= b.nextShedLog {
 		b.shedding, b.nextShedLog = pressure > 0, b.now+10*time.Second
-		b.log("load shedding: %v, share of work to shed: %.2f", b.shedding, pressure)
+		b.log("shedding %v, share %.2f", b.shedding, pressure)
 	}
 	return min(max((pressure*total-lessWorth)/equalWorth, 0), 1)
 }
