--- a/internal/cluster/api/batches.go
+++ b/internal/cluster/api/batches.go
@@ -13,86 +13,86 @@
 
 // Of what is encoded once and sent to many.
 const (
-	keptBodies   = 8        // answers remembered, for as many versions that followers are at
-	mostKeptBody = 64 << 10 // bytes of one; a longer answer is written straight from the replica's entries
-	keptState    = 10 * time.Second
-	slotWait     = 500 * time.Millisecond
+	cachedBodies       = 8        // answers remembered, for as many versions that followers are at
+	maxCachedBodyBytes = 64 << 10 // bytes of one; a longer answer is written straight from the replica's entries
+	stateCacheTTL      = 10 * time.Second
+	stateSlotTimeout   = 500 * time.Millisecond
 )
 
-// bodies remembers the last answers' lines, so that followers at one version are sent the same bytes.
-type bodies struct {
-	mu   sync.Mutex
-	kept [keptBodies]body
-	next int
+// bodyCache remembers the last answers' lines, so that followers at one version are sent the same bytes.
+type bodyCache struct {
+	mu    sync.Mutex
+	slots [cachedBodies]cachedBody
+	next  int
 }
 
-type body struct {
+type cachedBody struct {
 	since, version record.Version
 	hash           string // a mended state may have been another one at this version
 	lines          []byte // entries, then the last line
 }
 
-// of gives the lines of a batch of entries, nil where it is too long to be remembered.
-func (k *bodies) of(b *Batch) []byte {
-	if b.Bytes() > mostKeptBody {
+// lines gives the lines lines a batch lines entries, nil where it is too long to be remembered.
+func (c *bodyCache) encodedLines(b *Batch) []byte {
+	if b.Size() > maxCachedBodyBytes {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for i := range k.kept {
-		if y := &k.kept[i]; y.lines != nil && y.since == b.Since && y.version == b.Version && y.hash == b.Hash {
-			return y.lines
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i := range c.slots {
+		if cached := &c.slots[i]; cached.lines != nil && cached.since == b.Since && cached.version == b.Version && cached.hash == b.Hash {
+			return cached.lines
 		}
 	}
-	lines := make([]byte, 0, b.Bytes()+128)
+	lines := make([]byte, 0, b.Size()+128)
 	for _, e := range b.Entries {
 		lines = append(append(lines, e...), '\n')
 	}
-	lines = b.AppendEnd(lines)
-	k.kept[k.next] = body{b.Since, b.Version, b.Hash, lines}
-	k.next = (k.next + 1) % keptBodies
+	lines = b.AppendTrailer(lines)
+	c.slots[c.next] = cachedBody{b.Since, b.Version, b.Hash, lines}
+	c.next = (c.next + 1) % cachedBodies
 	return lines
 }
 
-// states encodes whole states: one at a time, and the last one serves everybody for as long as the entries after it are
+// stateCache encodes whole stateCache: one at a time, and the last one serves everybody for as long as the entries after it are
 // still there. At most as many are being sent as there are slots, and so many are in memory.
-type states struct {
-	slots chan struct{}
-	turn  chan struct{} // held while one is being encoded
-	mu    sync.Mutex
-	last  *saved
+type stateCache struct {
+	slots    chan struct{}
+	encoding chan struct{} // held while one is being encoded
+	mu       sync.Mutex
+	last     *encodedState
 }
 
-// saved is an encoded state.
-type saved struct {
-	version record.Version
-	hash    string
-	lines   []byte
-	count   int
-	made    time.Time
-	fresh   time.Time // it was surely the newest then
+// encodedState is an encoded state.
+type encodedState struct {
+	version   record.Version
+	hash      string
+	lines     []byte
+	lineCount int
+	encodedAt time.Time
+	freshAt   time.Time // it was surely the newest then
 }
 
 var errBusy = errors.New("as many whole states as are allowed are being sent")
 
-// take waits a little for a slot and gives a state not older than since; done frees the slot.
-func (s *states) take(ctx context.Context, r *replica.Replica, since record.Version, fresh time.Time) (state *saved, done func(), err error) {
-	ctx, cancel := context.WithTimeout(ctx, slotWait)
+// acquire waits a little for a slot and gives a state not older than since; done frees the slot.
+func (s *stateCache) acquire(ctx context.Context, r *replica.Replica, since record.Version, freshAt time.Time) (state *encodedState, release func(), err error) {
+	ctx, cancel := context.WithTimeout(ctx, stateSlotTimeout)
 	defer cancel()
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, nil, errBusy
 	}
-	done = func() { <-s.slots }
+	release = func() { <-s.slots }
 	defer func() {
 		if err != nil {
-			done()
+			release()
 		}
 	}()
 	select {
-	case s.turn <- struct{}{}:
-		defer func() { <-s.turn }()
+	case s.encoding <- struct{}{}:
+		defer func() { <-s.encoding }()
 	case <-ctx.Done():
 		return nil, nil, errBusy
 	}
@@ -100,27 +100,27 @@
 	last := s.last
 	s.mu.Unlock()
 	if last != nil && last.version >= since {
-		if _, now, ok := r.Since(last.version); ok && (now.Version() != last.version || now.Hash() == last.hash) {
-			return last, done, nil
+		if _, current, ok := r.Since(last.version); ok && (current.Version() != last.version || current.Hash() == last.hash) {
+			return last, release, nil
 		}
 	}
 	view := r.View()
-	var to bytes.Buffer
-	if err = record.Save(&to, view); err != nil {
+	var buf bytes.Buffer
+	if err = record.Save(&buf, view); err != nil {
 		return nil, nil, err
 	}
-	state = &saved{view.Version(), view.Hash(), to.Bytes(), bytes.Count(to.Bytes(), []byte{'\n'}), time.Now(), fresh}
+	state = &encodedState{view.Version(), view.Hash(), buf.Bytes(), bytes.Count(buf.Bytes(), []byte{'\n'}), time.Now(), freshAt}
 	s.mu.Lock()
 	s.last = state
 	s.mu.Unlock()
-	return state, done, nil
+	return state, release, nil
 }
 
-// forget drops the last state once it is too old to be asked for again. It is called now and then.
-func (s *states) forget() {
+// evictExpired drops the last state once it is too old to be asked for again. It is called now and then.
+func (s *stateCache) evictExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last != nil && time.Since(s.last.made) > keptState {
+	if s.last != nil && time.Since(s.last.encodedAt) > stateCacheTTL {
 		s.last = nil
 	}
 }
--- a/internal/cluster/api/client.go
+++ b/internal/cluster/api/client.go
@@ -20,8 +20,8 @@
 
 // Bounds of answers that a client reads, in bytes.
 const (
-	mostAnswer = 64 << 20 // of a read
-	mostWord   = 4 << 20  // of anything else but entries
+	maxReadBytes     = 64 << 20 // of a read
+	maxResponseBytes = 4 << 20  // of anything else but entries
 )
 
 // Client asks one member. It is safe for concurrent use, and keeps no state of its own.
@@ -32,20 +32,20 @@
 
 // NewClient returns a client of the member at an address, host:port. The transport holds the connections and is the caller's
 // to close; nil: http.DefaultTransport. No redirect is followed.
-func NewClient(addr string, via http.RoundTripper) *Client {
-	return &Client{"http://" + addr, &http.Client{Transport: via,
+func NewClient(addr string, transport http.RoundTripper) *Client {
+	return &Client{"http://" + addr, &http.Client{Transport: transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
 // NewTransport returns connections for clients: a dial is given up after dial, and idle ones are kept for reuse. A nil dialer is
 // the system's.
-func NewTransport(dial time.Duration, dialer func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Transport {
+func NewTransport(dialTimeout time.Duration, dialer func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Transport {
 	if dialer == nil {
 		dialer = (&net.Dialer{}).DialContext
 	}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, dial)
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			return dialer(ctx, network, addr)
 		},
@@ -55,8 +55,8 @@
 }
 
 // get asks for a JSON answer of status 200. Another status is an error with what the member says.
-func (c *Client) get(ctx context.Context, call string, q url.Values, most int64, to any) (status int, err error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+call+"?"+q.Encode(), nil)
+func (c *Client) get(ctx context.Context, path string, q url.Values, maxBytes int64, dst any) (status int, err error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path+"?"+q.Encode(), nil)
 	if err != nil {
 		return 0, err
 	}
@@ -65,32 +65,32 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	text, err := readAll(resp.Body, most)
+	body, err := readAll(resp.Body, maxBytes)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %.200s", resp.Status, bytes.TrimSpace(text))
+		err = fmt.Errorf("%s: %.200s", resp.Status, bytes.TrimSpace(body))
 	} else if err == nil {
-		err = json.Unmarshal(text, to)
+		err = json.Unmarshal(body, dst)
 	}
 	return resp.StatusCode, err
 }
 
-func readAll(from io.Reader, most int64) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(from, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = fmt.Errorf("an answer over %d bytes", most)
+func readAll(src io.Reader, maxBytes int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(src, maxBytes+1))
+	if err == nil && int64(len(body)) > maxBytes {
+		err = fmt.Errorf("an answer over %d bytes", maxBytes)
 	}
-	return text, err
+	return body, err
 }
 
 // Status asks what the member says of itself.
 func (c *Client) Status(ctx context.Context) (st Status, err error) {
-	_, err = c.get(ctx, "/v1/status", nil, mostWord, &st)
+	_, err = c.get(ctx, "/v1/status", nil, maxResponseBytes, &st)
 	return st, err
 }
 
 // Read asks for the items of a kind, or for one where key is not empty. The error is ErrNothing where the member shows
 // nothing yet, ErrRefused where it cannot prove what a consistent read asks.
-func (c *Client) Read(ctx context.Context, kind record.Kind, key string, consistent bool) (*ReadAnswer, error) {
+func (c *Client) Read(ctx context.Context, kind record.Kind, key string, consistent bool) (*ReadResponse, error) {
 	q := url.Values{"kind": {string(kind)}}
 	if key != "" {
 		q.Set("key", key)
@@ -98,8 +98,8 @@
 	if consistent {
 		q.Set("consistent", "1")
 	}
-	a := &ReadAnswer{}
-	status, err := c.get(ctx, "/v1/read", q, mostAnswer, a)
+	a := &ReadResponse{}
+	status, err := c.get(ctx, "/v1/read", q, maxReadBytes, a)
 	if err != nil {
 		if status == http.StatusServiceUnavailable && !consistent {
 			return nil, fmt.Errorf("%w: %w", ErrNothing, err)
@@ -111,7 +111,7 @@
 
 // Result asks what the member remembers of a write; false where that is nothing.
 func (c *Client) Result(ctx context.Context, id string) (result record.Result, ok bool, err error) {
-	status, err := c.get(ctx, "/v1/result", url.Values{"id": {id}}, mostWord, &result)
+	status, err := c.get(ctx, "/v1/result", url.Values{"id": {id}}, maxResponseBytes, &result)
 	if status == http.StatusNotFound {
 		return record.Result{}, false, nil
 	}
@@ -124,7 +124,7 @@
 		Version *record.Version `json:"version"`
 		Cluster string          `json:"cluster"`
 	}
-	if _, err = c.get(ctx, "/v1/readindex", nil, mostWord, &a); err != nil {
+	if _, err = c.get(ctx, "/v1/readindex", nil, maxResponseBytes, &a); err != nil {
 		return 0, "", err
 	}
 	if a.Version == nil {
@@ -135,17 +135,17 @@
 
 // Write has the member see to a write. The error is ErrRefused where it surely was not taken: no connection came about, or
 // the member says so. Anything else that is not a result is ErrUnknown.
-func (c *Client) Write(ctx context.Context, order *record.Write) (record.Result, error) {
-	text, err := json.Marshal(order)
+func (c *Client) Write(ctx context.Context, write *record.Write) (record.Result, error) {
+	body, err := json.Marshal(write)
 	if err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	var asked, connected atomic.Bool
+	var connRequested, connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { asked.Store(true) },
+		GetConn: func(string) { connRequested.Store(true) },
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	r, err := http.NewRequestWithContext(traced, http.MethodPost, c.base+"/v1/write", bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(traced, http.MethodPost, c.base+"/v1/write", bytes.NewReader(body))
 	if err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
@@ -155,39 +155,39 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		var op *net.OpError
-		if asked.Load() && !connected.Load() || errors.As(err, &op) && op.Op == "dial" {
+		var opErr *net.OpError
+		if connRequested.Load() && !connected.Load() || errors.As(err, &opErr) && opErr.Op == "dial" {
 			return record.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 		return record.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	defer resp.Body.Close()
-	answer, err := readAll(resp.Body, mostWord)
+	respBody, err := readAll(resp.Body, maxResponseBytes)
 	if err != nil {
 		return record.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	return writeResult(resp.StatusCode, answer, order.ID)
+	return parseWriteResponse(resp.StatusCode, respBody, write.ID)
 }
 
-// writeResult is what an answer to a write says.
-func writeResult(status int, answer []byte, id string) (record.Result, error) {
-	var said struct {
+// parseWriteResponse is what an answer to a write says.
+func parseWriteResponse(status int, body []byte, id string) (record.Result, error) {
+	var reply struct {
 		Refused, Unknown, Invalid string
 	}
 	if status != http.StatusOK {
-		_ = json.Unmarshal(answer, &said) // without a word in it the answer may be anybody's
+		_ = json.Unmarshal(body, &reply) // without a word in it the answer may be anybody's
 	}
 	switch {
 	case status == http.StatusOK:
 		var result record.Result
-		if err := json.Unmarshal(answer, &result); err != nil || result.ID != id || result.Outcome == "" {
-			return record.Result{}, fmt.Errorf("%w: an answer that is no result of it: %.100q", ErrUnknown, answer)
+		if err := json.Unmarshal(body, &result); err != nil || result.ID != id || result.Outcome == "" {
+			return record.Result{}, fmt.Errorf("%w: an answer that is no result of it: %.100q", ErrUnknown, body)
 		}
 		return result, nil
-	case status == http.StatusServiceUnavailable && said.Refused != "":
-		return record.Result{}, fmt.Errorf("%w: %s", ErrRefused, said.Refused)
-	case status == http.StatusBadRequest && said.Invalid != "":
-		return record.Result{}, fmt.Errorf("%w: %s", ErrRefused, said.Invalid)
+	case status == http.StatusServiceUnavailable && reply.Refused != "":
+		return record.Result{}, fmt.Errorf("%w: %s", ErrRefused, reply.Refused)
+	case status == http.StatusBadRequest && reply.Invalid != "":
+		return record.Result{}, fmt.Errorf("%w: %s", ErrRefused, reply.Invalid)
 	}
-	return record.Result{}, fmt.Errorf("%w: status %d %.100s", ErrUnknown, status, said.Unknown)
+	return record.Result{}, fmt.Errorf("%w: status %d %.100s", ErrUnknown, status, reply.Unknown)
 }
--- a/internal/cluster/api/entries_test.go
+++ b/internal/cluster/api/entries_test.go
@@ -15,20 +15,20 @@
 	"burlpass/internal/record"
 )
 
-func ask(since record.Version, wait time.Duration, name string) api.Ask {
-	return api.Ask{Since: since, Wait: wait, Name: name, Silence: 10 * time.Second}
+func entriesRequest(since record.Version, wait time.Duration, name string) api.EntriesRequest {
+	return api.EntriesRequest{Since: since, Wait: wait, Name: name, SilenceTimeout: 10 * time.Second}
 }
 
-func TestLongCallEndsWithTheNextEntry(t *testing.T) {
+func TestLongPollReturnsNextEntry(t *testing.T) {
 	v := apitest.NewVoter("a", 4)
-	c := client(t, v.Handler(api.Options{}))
-	b, err := c.Entries(t.Context(), ask(0, 0, "o1"))
+	c := newTestClient(t, v.Handler(api.Options{}))
+	b, err := c.Entries(t.Context(), entriesRequest(0, 0, "o1"))
 	if err != nil || b.Version != 0 || b.Count != 0 || b.Hash != v.State.View().Hash() || b.Path[0] != "a" || !b.Leader {
 		t.Fatalf("nothing new: %+v, %v", b, err)
 	}
 	got := make(chan *api.Batch)
 	go func() {
-		b, err := c.Entries(t.Context(), ask(0, time.Minute, "o1"))
+		b, err := c.Entries(t.Context(), entriesRequest(0, time.Minute, "o1"))
 		if err != nil {
 			t.Error(err)
 		}
@@ -40,7 +40,7 @@
 	}
 	v.Add(t, 5)
 	for since, want := range map[record.Version]string{1: api.KindState, 2: api.KindEntries, 6: api.KindEntries} {
-		b, err := c.Entries(t.Context(), ask(since, 0, "o1"))
+		b, err := c.Entries(t.Context(), entriesRequest(since, 0, "o1"))
 		if err != nil || b.Kind != want || b.Version != 6 || b.Hash != v.State.View().Hash() {
 			t.Errorf("after %d: %+v, %v; kind %s is expected", since, b, err, want)
 			continue
@@ -53,43 +53,43 @@
 		}
 	}
 	// A source that is behind says so, and does not send what the follower cannot use.
-	if b, err = c.Entries(t.Context(), ask(9, 0, "o1")); err != nil || b.Count != 0 || b.Version != 6 || b.Kind != api.KindEntries {
+	if b, err = c.Entries(t.Context(), entriesRequest(9, 0, "o1")); err != nil || b.Count != 0 || b.Version != 6 || b.Kind != api.KindEntries {
 		t.Errorf("ahead of the source: %+v, %v", b, err)
 	}
-	whole := ask(6, 0, "o1")
-	whole.Whole = true
+	whole := entriesRequest(6, 0, "o1")
+	whole.FullState = true
 	if b, err = c.Entries(t.Context(), whole); err != nil || b.Kind != api.KindState || b.Version != 6 {
 		t.Errorf("whole: %+v, %v", b, err)
 	}
-	avoid := ask(6, 0, "o1")
-	avoid.NotLeader = true
-	if _, err = c.Entries(t.Context(), avoid); !errors.Is(err, api.ErrLeader) {
+	avoid := entriesRequest(6, 0, "o1")
+	avoid.AvoidLeader = true
+	if _, err = c.Entries(t.Context(), avoid); !errors.Is(err, api.ErrSourceIsLeader) {
 		t.Errorf("the leader was to be avoided: %v", err)
 	}
 }
 
-func TestPlacesAreBoundedAndNamed(t *testing.T) {
+func TestFollowerSlotsAreBoundedAndNamed(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
-	c := client(t, v.Handler(api.Options{Followers: 2, Keep: time.Hour}))
-	with := ask(0, 0, "o1")
+	c := newTestClient(t, v.Handler(api.Options{Followers: 2, FollowerTTL: time.Hour}))
+	with := entriesRequest(0, 0, "o1")
 	with.Addr = "127.0.0.1:7"
-	for _, a := range []api.Ask{with, ask(0, 0, "o2")} {
+	for _, a := range []api.EntriesRequest{with, entriesRequest(0, 0, "o2")} {
 		if _, err := c.Entries(t.Context(), a); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var full *api.FullError
-	if _, err := c.Entries(t.Context(), ask(0, 0, "o3")); !errors.As(err, &full) || len(full.Try) != 1 || full.Try[0] != (api.Peer{Name: "o1", Addr: "127.0.0.1:7"}) {
+	var full *api.AtCapacityError
+	if _, err := c.Entries(t.Context(), entriesRequest(0, 0, "o3")); !errors.As(err, &full) || len(full.Alternatives) != 1 || full.Alternatives[0] != (api.Peer{Name: "o1", Addr: "127.0.0.1:7"}) {
 		t.Errorf("a third follower: %v, %+v", err, full)
 	}
 	// A second call under a name ends the first, so that a name has one place.
 	long := make(chan error, 1)
 	go func() {
-		_, err := c.Entries(t.Context(), ask(0, time.Minute, "o2"))
+		_, err := c.Entries(t.Context(), entriesRequest(0, time.Minute, "o2"))
 		long <- err
 	}()
 	for ended := false; !ended; {
-		if _, err := c.Entries(t.Context(), ask(0, 0, "o2")); err != nil && !errors.Is(err, api.ErrRefused) {
+		if _, err := c.Entries(t.Context(), entriesRequest(0, 0, "o2")); err != nil && !errors.Is(err, api.ErrRefused) {
 			t.Fatal(err)
 		}
 		select {
@@ -100,15 +100,15 @@
 		default:
 		}
 	}
-	c = client(t, v.Handler(api.Options{Followers: 1, Keep: time.Nanosecond}))
+	c = newTestClient(t, v.Handler(api.Options{Followers: 1, FollowerTTL: time.Nanosecond}))
 	for _, name := range []string{"o1", "o2"} {
-		if _, err := c.Entries(t.Context(), ask(0, 0, name)); err != nil {
+		if _, err := c.Entries(t.Context(), entriesRequest(0, 0, name)); err != nil {
 			t.Errorf("%s, after the place was given up: %v", name, err)
 		}
 	}
 }
 
-func TestCutOrChangedAnswersAreNone(t *testing.T) {
+func TestTruncatedOrAlteredBatchesAreRejected(t *testing.T) {
 	v := apitest.NewVoter("a", 2)
 	v.Add(t, 5)
 	var state bytes.Buffer
@@ -116,8 +116,8 @@
 		t.Fatal(err)
 	}
 	entries, view, _ := v.State.Since(3)
-	head := api.Head{Format: api.Format, Cluster: "c", Since: 3, Version: 5, Hash: view.Hash(), Path: []string{"a"}}
-	ofEntries, ofState := &api.Batch{Head: head, Entries: entries}, &api.Batch{Head: head, Saved: state.Bytes()}
+	head := api.Header{Format: api.Format, Cluster: "c", Since: 3, Version: 5, Hash: view.Hash(), Path: []string{"a"}}
+	ofEntries, ofState := &api.Batch{Header: head, Entries: entries}, &api.Batch{Header: head, SavedState: state.Bytes()}
 	ofEntries.Kind, ofEntries.Count = api.KindEntries, 2
 	ofState.Kind, ofState.Count = api.KindState, bytes.Count(state.Bytes(), []byte("\n"))
 	for _, b := range []*api.Batch{ofEntries, ofState} {
@@ -149,9 +149,9 @@
 }
 
 // smallBuffers accepts connections that hold little of what is not read.
-type smallBuffers struct{ net.Listener }
+type smallBufferListener struct{ net.Listener }
 
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		err = c.(*net.TCPConn).SetWriteBuffer(4096)
@@ -159,17 +159,17 @@
 	return c, err
 }
 
-func TestFollowerThatDoesNotReadLosesItsConnection(t *testing.T) {
+func TestSlowFollowerIsDisconnected(t *testing.T) {
 	v := apitest.NewVoter("a", 1)
 	v.Add(t, 3000) // more than the sockets' buffers hold
 	aborted := make(chan struct{}, 1)
-	h := v.Handler(api.Options{States: 1, Within: 300 * time.Millisecond})
+	h := v.Handler(api.Options{MaxStateTransfers: 1, RequestTimeout: 300 * time.Millisecond})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	apitest.ServeOn(t, smallBuffers{l}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	apitest.ServeOn(t, smallBufferListener{l}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			if r := recover(); r != nil {
 				aborted <- struct{}{}
@@ -192,9 +192,9 @@
 		t.Fatal(err)
 	}
 	v.Add(t, 1) // nobody is held up by it
-	c := clientOf(t, addr)
-	whole := ask(0, 0, "o1")
-	whole.Whole = true
+	c := newClientFor(t, addr)
+	whole := entriesRequest(0, 0, "o1")
+	whole.FullState = true
 	for {
 		b, err := c.Entries(t.Context(), whole)
 		if err == nil && b.Kind == api.KindState {
@@ -211,11 +211,11 @@
 	}
 }
 
-func TestSilentSourceIsGivenUp(t *testing.T) {
+func TestSilentSourceTimesOut(t *testing.T) {
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
 	for name, say := range map[string]string{"from the start": "", "in the middle": `{"format":1,`} {
-		c := client(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		c := newTestClient(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, say)
 			_ = http.NewResponseController(w).Flush()
 			select {
@@ -223,8 +223,8 @@
 			case <-stop:
 			}
 		}))
-		a := ask(0, 0, "o1")
-		a.Silence = 50 * time.Millisecond
+		a := entriesRequest(0, 0, "o1")
+		a.SilenceTimeout = 50 * time.Millisecond
 		if _, err := c.Entries(t.Context(), a); err == nil || !strings.Contains(err.Error(), "silent") {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/cluster/api/followers.go
+++ b/internal/cluster/api/followers.go
@@ -15,65 +15,65 @@
 	Addr string `json:"addr"`
 }
 
-// followers are the places that a member has for those who follow it, by name.
-type followers struct {
-	most int
-	keep time.Duration // a place stays so long after its last call
-	now  func() time.Time
+// followerTable are the places that a member has for those who follow it, by name.
+type followerTable struct {
+	capacity int
+	ttl      time.Duration // a place stays so long after its last call
+	now      func() time.Time
 
-	mu sync.Mutex
-	of map[string]*place
+	mu     sync.Mutex
+	byName map[string]*followerSlot
 }
 
-var errAnew = errors.New("asked again under the same name")
+var errSuperseded = errors.New("asked again under the same name")
 
-type place struct {
-	addr string
-	end  context.CancelCauseFunc // of the open call; nil between calls
-	last time.Time               // the last call ended
+type followerSlot struct {
+	addr        string
+	cancelCall  context.CancelCauseFunc // of the open call; nil between calls
+	lastCallEnd time.Time               // the last call ended
 }
 
-// enter takes a place, or the one that the name has already. An older call under the same name ends with errAnew: its
+// admit takes a place, or the one that the name has already. An older call under the same name ends with errAnew: its
 // caller has given it up, or two members share a name, and then neither may hold two places. The context is the
 // call's; leave ends it. Without a free place it gives those to ask instead.
-func (f *followers) enter(ctx context.Context, name, addr string) (call context.Context, leave func(), try []Peer) {
+func (f *followerTable) admit(ctx context.Context, name, addr string) (callCtx context.Context, release func(), alternatives []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	switch p := f.of[name]; {
+	switch p := f.byName[name]; {
 	case p != nil:
-		if p.end != nil {
-			p.end(errAnew)
+		if p.cancelCall != nil {
+			p.cancelCall(errSuperseded)
 		}
-	case len(f.of) >= f.most:
-		if f.forget(); len(f.of) >= f.most {
-			return nil, nil, f.present()
+	case len(f.byName) >= f.capacity:
+		if f.evictExpired(); len(f.byName) >= f.capacity {
+			return nil, nil, f.advertised()
 		}
 	}
-	call, cancel := context.WithCancelCause(ctx)
-	mine := &place{addr: addr, end: cancel}
-	f.of[name] = mine
-	return call, func() {
+	callCtx, cancel := context.WithCancelCause(ctx)
+	slot := &followerSlot{addr: addr, cancelCall: cancel}
+	f.byName[name] = slot
+	return callCtx, func() {
 		cancel(nil)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		mine.end, mine.last = nil, f.now()
+		slot.cancelCall, slot.lastCallEnd = nil, f.now()
 	}, nil
 }
 
 // forget drops the places of those who have not asked again. It is called under the lock.
-func (f *followers) forget() {
+func (f *followerTable) evictExpired() {
 	now := f.now()
-	for name, p := range f.of {
-		if p.end == nil && now.Sub(p.last) > f.keep {
-			delete(f.of, name)
+	for name, p := range f.byName {
+		if p.cancelCall == nil && now.Sub(p.lastCallEnd) > f.ttl {
+			delete(f.byName, name)
 		}
 	}
 }
 
 // present lists, by name, the followers that gave an address. It is called under the lock.
-func (f *followers) present() []Peer {
+func (f *followerTable) advertised() []Peer {
 	var list []Peer
-	for name, p := range f.of {
+	for name, p := range f.byName {
 		if p.addr != "" {
 			list = append(list, Peer{name, p.addr})
 		}
@@ -83,9 +83,9 @@
 }
 
 // count is how many places are taken.
-func (f *followers) count() int {
+func (f *followerTable) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forget()
-	return len(f.of)
+	f.evictExpired()
+	return len(f.byName)
 }
--- a/internal/cluster/api/lease.go
+++ b/internal/cluster/api/lease.go
@@ -11,37 +11,37 @@
 	"burlpass/internal/lease"
 )
 
-const maxLease = 64 << 10 // bytes of a question about leases
+const maxLeaseBytes = 64 << 10 // bytes of a question about leases
 
 // lease serves POST /v1/lease. Nothing hangs on a question that was lost, so all that fails is refused.
 func (s *server) lease(w http.ResponseWriter, r *http.Request) {
 	var ask lease.Ask
-	err := decodeBody(http.MaxBytesReader(w, r.Body, maxLease), &ask)
+	err := decodeBody(http.MaxBytesReader(w, r.Body, maxLeaseBytes), &ask)
 	if err == nil {
 		err = ask.Check()
 	}
 	if err != nil {
-		refuse(w, "body, "+err.Error())
+		writeInvalid(w, "body, "+err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(s.o.Within, lease.Length))
+	ctx, cancel := context.WithTimeout(r.Context(), min(s.options.RequestTimeout, lease.Length))
 	defer cancel()
-	a, err := s.m.Lease(ctx, ask)
+	a, err := s.member.Lease(ctx, ask)
 	if err != nil {
-		answer(w, http.StatusServiceUnavailable, map[string]string{"refused": err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"refused": err.Error()})
 		return
 	}
-	answer(w, http.StatusOK, a)
+	writeJSON(w, http.StatusOK, a)
 }
 
 // Lease asks the member to have leases divided. The error is ErrRefused whatever happened: what was given and is not heard of ends by
 // itself.
 func (c *Client) Lease(ctx context.Context, ask lease.Ask) (a lease.Answer, err error) {
-	text, err := json.Marshal(ask)
+	body, err := json.Marshal(ask)
 	if err != nil {
 		return a, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/lease", bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/lease", bytes.NewReader(body))
 	if err != nil {
 		return a, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
@@ -51,12 +51,12 @@
 		return a, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	defer resp.Body.Close()
-	said, err := readAll(resp.Body, mostWord)
+	respBody, err := readAll(resp.Body, maxResponseBytes)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %.200s", resp.Status, bytes.TrimSpace(said))
+		err = fmt.Errorf("%s: %.200s", resp.Status, bytes.TrimSpace(respBody))
 	}
 	if err == nil {
-		err = json.Unmarshal(said, &a)
+		err = json.Unmarshal(respBody, &a)
 	}
 	if err == nil && a.Number != ask.Number {
 		err = errors.New("an answer to another question")
--- a/internal/cluster/api/metrics.go
+++ b/internal/cluster/api/metrics.go
@@ -47,7 +47,7 @@
 }
 
 // counted has the calls of a pattern, METHOD PATH, counted as they come in.
-func (m *Metrics) counted(pattern string, h http.Handler) (string, http.Handler) {
+func (m *Metrics) countCalls(pattern string, h http.Handler) (string, http.Handler) {
 	_, path, _ := strings.Cut(pattern, " ")
 	calls := m.calls.WithLabelValues(path)
 	return pattern, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,12 +56,12 @@
 	})
 }
 
-func (m *Metrics) wrote(outcome string, started time.Time) {
+func (m *Metrics) observeWrite(outcome string, started time.Time) {
 	m.writes.WithLabelValues(outcome).Inc()
 	m.writeSeconds.Observe(time.Since(started).Seconds())
 }
 
-func (m *Metrics) sent(b *Batch, bytes int) {
+func (m *Metrics) observeBatch(b *Batch, bytes int) {
 	m.entries.Add(float64(len(b.Entries)))
 	m.bytes.Add(float64(bytes))
 	if b.Kind == KindState {
@@ -70,8 +70,8 @@
 }
 
 // watch adds what a member says of itself, asked when the figures are.
-func (m *Metrics) watch(of Member, followers func() int) {
-	m.Registry.MustRegister(&watcher{of: of, followers: followers})
+func (m *Metrics) registerMember(member Member, followers func() int) {
+	m.Registry.MustRegister(&memberCollector{member: member, followers: followers})
 }
 
 func (m *Metrics) handler() http.Handler {
@@ -79,44 +79,44 @@
 }
 
 // watcher collects a member's status. Its descriptions are made once.
-type watcher struct {
-	of        Member
-	followers func() int
-	once      sync.Once
-	version   *prometheus.Desc
-	age       *prometheus.Desc
-	state     *prometheus.Desc
-	follow    *prometheus.Desc
+type memberCollector struct {
+	member        Member
+	followers     func() int
+	once          sync.Once
+	version       *prometheus.Desc
+	age           *prometheus.Desc
+	role          *prometheus.Desc
+	followerCount *prometheus.Desc
 }
 
-func (c *watcher) describe() {
+func (c *memberCollector) describe() {
 	c.version = prometheus.NewDesc("burlpass_cluster_version", "The version of the state that is shown.", nil, nil)
 	c.age = prometheus.NewDesc("burlpass_cluster_age_seconds",
 		"How long ago that state was surely the newest; missing while nothing is shown.", nil, nil)
-	c.state = prometheus.NewDesc("burlpass_cluster_member", "1 for the role and state that the member has.",
+	c.role = prometheus.NewDesc("burlpass_cluster_member", "1 for the role and state that the member has.",
 		[]string{"role", "state"}, nil)
-	c.follow = prometheus.NewDesc("burlpass_cluster_followers", "Followers that have a place here.", nil, nil)
+	c.followerCount = prometheus.NewDesc("burlpass_cluster_followers", "Followers that have a place here.", nil, nil)
 }
 
 // Describe is a prometheus.Collector's.
-func (c *watcher) Describe(to chan<- *prometheus.Desc) {
+func (c *memberCollector) Describe(ch chan<- *prometheus.Desc) {
 	c.once.Do(c.describe)
-	for _, d := range []*prometheus.Desc{c.version, c.age, c.state, c.follow} {
-		to <- d
+	for _, d := range []*prometheus.Desc{c.version, c.age, c.role, c.followerCount} {
+		ch <- d
 	}
 }
 
 // Collect is a prometheus.Collector's.
-func (c *watcher) Collect(to chan<- prometheus.Metric) {
+func (c *memberCollector) Collect(ch chan<- prometheus.Metric) {
 	c.once.Do(c.describe)
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	st := c.of.Status()
+	st := c.member.Status()
 	gauge(c.version, float64(st.Version))
 	if st.AgeMs >= 0 {
 		gauge(c.age, float64(st.AgeMs)/1000)
 	}
-	gauge(c.state, 1, st.Role, st.State)
-	gauge(c.follow, float64(c.followers()))
+	gauge(c.role, 1, st.Role, st.State)
+	gauge(c.followerCount, float64(c.followers()))
 }
--- a/internal/cluster/api/server.go
+++ b/internal/cluster/api/server.go
@@ -20,71 +20,71 @@
 
 // Defaults of Options.
 const (
-	DefaultFollowers = 32
-	DefaultKeep      = 5 * time.Second
-	DefaultStates    = 4
-	DefaultMaxBody   = 1 << 20
-	DefaultWithin    = 10 * time.Second
+	DefaultFollowers         = 32
+	DefaultFollowerTTL       = 5 * time.Second
+	DefaultMaxStateTransfers = 4
+	DefaultMaxBodyBytes      = 1 << 20
+	DefaultRequestTimeout    = 10 * time.Second
 )
 
 // Bounds of what callers ask.
 const (
-	maxWait     = 10 * time.Second // of a call to /v1/entries
-	maxName     = 512              // bytes of names, kinds, keys and ids in a query
-	maxHops     = 4                // members that hand a write on
-	hopsHeader  = "Burlpass-Hops"
-	sentASecond = 1 << 20 // bytes that a reader must take, beyond the first seconds
+	maxWait           = 10 * time.Second // of a call to /v1/entries
+	maxParameterBytes = 512              // bytes of names, kinds, keys and ids in a query
+	maxHops           = 4                // members that hand a write on
+	hopsHeader        = "Burlpass-Hops"
+	minSendRate       = 1 << 20 // bytes that a reader must take, beyond the first seconds
 )
 
 // Options of Handler. Zero values stand for the defaults.
 type Options struct {
-	Followers int            // that are served entries at a time
-	Keep      time.Duration  // a follower keeps its place so long after its last call
-	States    int            // whole states that are sent at a time
-	MaxBody   int64          // bytes of a write
-	Within    time.Duration  // for a write or a consistent read, and to send a reader a batch; below NewServer's 30 s
-	Metrics   *Metrics       // nil: its own
-	Log       *slog.Logger   // nil: none
-	Rules     *rules.Decoder // for dry runs; nil: its own
+	Followers         int            // that are served entries at a time
+	FollowerTTL       time.Duration  // a follower keeps its place so long after its last call
+	MaxStateTransfers int            // whole states that are sent at a time
+	MaxBodyBytes      int64          // bytes of a write
+	RequestTimeout    time.Duration  // for a write or a consistent read, and to send a reader a batch; below NewServer's 30 s
+	Metrics           *Metrics       // nil: its own
+	Log               *slog.Logger   // nil: none
+	Rules             *rules.Decoder // for dry runs; nil: its own
 }
 
 type server struct {
-	m         Member
-	o         Options
+	member    Member
+	options   Options
 	log       *slog.Logger
 	metrics   *Metrics
-	followers *followers
-	bodies    bodies
-	states    states
+	followers *followerTable
+	bodies    bodyCache
+	states    stateCache
 }
 
 // Handler serves a member's calls except those between voters, which a voter puts on the same mux.
-func Handler(m Member, o Options) *http.ServeMux {
-	o.Followers = or(o.Followers, DefaultFollowers)
-	o.Keep, o.States = or(o.Keep, DefaultKeep), or(o.States, DefaultStates)
-	o.MaxBody, o.Within = or(o.MaxBody, DefaultMaxBody), or(o.Within, DefaultWithin)
-	if o.Log == nil {
-		o.Log = logging.Discard()
+func Handler(member Member, options Options) *http.ServeMux {
+	options.Followers = orDefault(options.Followers, DefaultFollowers)
+	options.FollowerTTL, options.MaxStateTransfers = orDefault(options.FollowerTTL, DefaultFollowerTTL), orDefault(options.MaxStateTransfers, DefaultMaxStateTransfers)
+	options.MaxBodyBytes, options.RequestTimeout = orDefault(options.MaxBodyBytes, DefaultMaxBodyBytes), orDefault(options.RequestTimeout, DefaultRequestTimeout)
+	if options.Log == nil {
+		options.Log = logging.Discard()
 	}
-	if o.Rules == nil {
-		o.Rules = &rules.Decoder{}
+	if options.Rules == nil {
+		options.Rules = &rules.Decoder{}
 	}
-	if o.Metrics == nil {
-		o.Metrics = NewMetrics()
+	if options.Metrics == nil {
+		options.Metrics = NewMetrics()
 	}
-	s := &server{m: m, o: o, log: o.Log, metrics: o.Metrics}
-	s.followers = &followers{most: o.Followers, keep: o.Keep, now: time.Now, of: map[string]*place{}}
-	s.states = states{slots: make(chan struct{}, o.States), turn: make(chan struct{}, 1)}
-	s.metrics.watch(m, s.followers.count)
+	s := &server{member: member, options: options, log: options.Log, metrics: options.Metrics}
+	s.followers = &followerTable{capacity: options.Followers, ttl: options.FollowerTTL, now: time.Now, byName: map[string]*followerSlot{}}
+	s.states = stateCache{slots: make(chan struct{}, options.MaxStateTransfers), encoding: make(chan struct{}, 1)}
+	s.metrics.registerMember(member, s.followers.count)
 	mux := http.NewServeMux()
-	mux.Handle(s.metrics.counted("POST /v1/write", http.HandlerFunc(s.write)))
-	mux.Handle(s.metrics.counted("POST /v1/lease", http.HandlerFunc(s.lease)))
-	mux.Handle(s.metrics.counted("POST /v1/dryrun", http.HandlerFunc(s.dryRun)))
-	mux.Handle(s.metrics.counted("GET /v1/read", http.HandlerFunc(s.read)))
-	mux.Handle(s.metrics.counted("GET /v1/result", http.HandlerFunc(s.result)))
-	mux.Handle(s.metrics.counted("GET /v1/entries", http.HandlerFunc(s.entries)))
-	mux.Handle(s.metrics.counted("GET /v1/status", http.HandlerFunc(s.status)))
-	mux.Handle(s.metrics.counted("GET /metrics", s.metrics.handler()))
+	mux.Handle(s.metrics.countCalls("POST /v1/write", http.HandlerFunc(s.write)))
+	mux.Handle(s.metrics.countCalls("POST /v1/lease", http.HandlerFunc(s.lease)))
+	mux.Handle(s.metrics.countCalls("POST /v1/dryrun", http.HandlerFunc(s.dryRun)))
+	mux.Handle(s.metrics.countCalls("GET /v1/read", http.HandlerFunc(s.read)))
+	mux.Handle(s.metrics.countCalls("GET /v1/result", http.HandlerFunc(s.result)))
+	mux.Handle(s.metrics.countCalls("GET /v1/entries", http.HandlerFunc(s.entries)))
+	mux.Handle(s.metrics.countCalls("GET /v1/status", http.HandlerFunc(s.status)))
+	mux.Handle(s.metrics.countCalls("GET /metrics", s.metrics.handler()))
 	return mux
 }
 
@@ -96,10 +96,10 @@
 		ErrorLog:       slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 }
 
-func or[T comparable](v, otherwise T) T {
+func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
-		return otherwise
+		return fallback
 	}
 	return v
 }
@@ -110,42 +110,42 @@
 	started := time.Now()
 	hops, _ := strconv.Atoi(r.Header.Get(hopsHeader))
 	if hops > maxHops {
-		s.metrics.wrote("refused", started)
-		answer(w, http.StatusServiceUnavailable, map[string]string{"refused": "handed on in a circle"})
+		s.metrics.observeWrite("refused", started)
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"refused": "handed on in a circle"})
 		return
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(started.Add(s.o.Within))
-	var order record.Write
-	if err := decodeBody(http.MaxBytesReader(w, r.Body, s.o.MaxBody), &order); err != nil {
-		refuse(w, "body, "+err.Error())
+	_ = http.NewResponseController(w).SetReadDeadline(started.Add(s.options.RequestTimeout))
+	var write record.Write
+	if err := decodeBody(http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes), &write); err != nil {
+		writeInvalid(w, "body, "+err.Error())
 		return
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	if order.ID == "" {
-		refuse(w, "body: id is missing")
+	if write.ID == "" {
+		writeInvalid(w, "body: id is missing")
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithValue(r.Context(), hopsKey{}, hops), s.o.Within)
+	ctx, cancel := context.WithTimeout(context.WithValue(r.Context(), hopsKey{}, hops), s.options.RequestTimeout)
 	defer cancel()
-	result, err := s.m.Write(ctx, &order)
+	result, err := s.member.Write(ctx, &write)
 	switch {
 	case err == nil:
-		s.metrics.wrote(string(result.Outcome), started)
-		answer(w, http.StatusOK, result)
+		s.metrics.observeWrite(string(result.Outcome), started)
+		writeJSON(w, http.StatusOK, result)
 	case errors.Is(err, ErrRefused):
-		s.metrics.wrote("refused", started)
-		answer(w, http.StatusServiceUnavailable, map[string]string{"refused": err.Error()})
+		s.metrics.observeWrite("refused", started)
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"refused": err.Error()})
 	default: // whatever a member says that is not surely a refusal
-		s.metrics.wrote("unknown", started)
-		answer(w, http.StatusGatewayTimeout, map[string]string{"unknown": err.Error()})
+		s.metrics.observeWrite("unknown", started)
+		writeJSON(w, http.StatusGatewayTimeout, map[string]string{"unknown": err.Error()})
 	}
 }
 
 // decodeBody reads one JSON value of known fields and nothing after it. The error tells the place.
-func decodeBody(body io.Reader, to any) error {
+func decodeBody(body io.Reader, dst any) error {
 	d := json.NewDecoder(body)
 	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
+	if err := d.Decode(dst); err != nil {
 		return fmt.Errorf("byte %d: %w", d.InputOffset(), err)
 	}
 	if _, err := d.Token(); err != io.EOF {
@@ -155,7 +155,7 @@
 }
 
 // ReadAnswer is the answer to /v1/read.
-type ReadAnswer struct {
+type ReadResponse struct {
 	Version record.Version `json:"version"`
 	TimeMs  int64          `json:"time_ms"` // the record's time
 	Hash    string         `json:"hash"`
@@ -164,7 +164,7 @@
 }
 
 func (s *server) read(w http.ResponseWriter, r *http.Request) {
-	q, err := query(r, "kind", "key", "consistent")
+	q, err := parseQuery(r, "kind", "key", "consistent")
 	kind := record.Kind(q["kind"])
 	if err == nil && kind == "" {
 		err = errors.New("kind is missing")
@@ -174,100 +174,100 @@
 		err = errors.New("consistent: 1 or nothing is expected")
 	}
 	if err != nil {
-		refuse(w, "query: "+err.Error())
+		writeInvalid(w, "query: "+err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.o.Within)
+	ctx, cancel := context.WithTimeout(r.Context(), s.options.RequestTimeout)
 	defer cancel()
-	view, age, err := s.m.Read(ctx, consistent)
+	view, age, err := s.member.Read(ctx, consistent)
 	if err != nil {
-		unread(w, err)
+		writeReadError(w, err)
 		return
 	}
-	a := ReadAnswer{view.Version(), view.TimeMs(), view.Hash(), Ms(age), []record.Item{}}
-	if key, one := q["key"]; one {
+	resp := ReadResponse{view.Version(), view.TimeMs(), view.Hash(), Ms(age), []record.Item{}}
+	if key, hasKey := q["key"]; hasKey {
 		if item, ok := view.Get(kind, key); ok {
-			a.Items = append(a.Items, item)
+			resp.Items = append(resp.Items, item)
 		}
 	} else {
 		view.Each(kind, func(i record.Item) bool {
-			a.Items = append(a.Items, i)
+			resp.Items = append(resp.Items, i)
 			return true
 		})
 	}
 	// The items are the view's own; only their text is made here, and a slow reader holds it no longer than this.
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(time.Now().Add(s.o.Within))
-	answer(w, http.StatusOK, a)
+	_ = rc.SetWriteDeadline(time.Now().Add(s.options.RequestTimeout))
+	writeJSON(w, http.StatusOK, resp)
 	_ = rc.Flush()
 	_ = rc.SetWriteDeadline(time.Time{})
 }
 
 func (s *server) result(w http.ResponseWriter, r *http.Request) {
-	q, err := query(r, "id")
+	q, err := parseQuery(r, "id")
 	if err == nil && q["id"] == "" {
 		err = errors.New("id is missing")
 	}
 	if err != nil {
-		refuse(w, "query: "+err.Error())
+		writeInvalid(w, "query: "+err.Error())
 		return
 	}
-	view, _, err := s.m.Read(r.Context(), false)
+	view, _, err := s.member.Read(r.Context(), false)
 	if err != nil {
-		unread(w, err)
+		writeReadError(w, err)
 		return
 	}
 	if result, ok := view.Result(q["id"]); ok {
-		answer(w, http.StatusOK, result)
+		writeJSON(w, http.StatusOK, result)
 		return
 	}
-	answer(w, http.StatusNotFound, map[string]string{"nothing": "no write of this id is remembered here"})
+	writeJSON(w, http.StatusNotFound, map[string]string{"nothing": "no write of this id is remembered here"})
 }
 
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
-	if _, err := query(r); err != nil {
-		refuse(w, "query: "+err.Error())
+	if _, err := parseQuery(r); err != nil {
+		writeInvalid(w, "query: "+err.Error())
 		return
 	}
-	answer(w, http.StatusOK, s.m.Status())
+	writeJSON(w, http.StatusOK, s.member.Status())
 }
 
 // unread answers a read that a member could not serve.
-func unread(w http.ResponseWriter, err error) {
-	why := "refused"
+func writeReadError(w http.ResponseWriter, err error) {
+	reason := "refused"
 	if errors.Is(err, ErrNothing) {
-		why = "nothing"
+		reason = "nothing"
 	}
-	answer(w, http.StatusServiceUnavailable, map[string]string{why: err.Error()})
+	writeJSON(w, http.StatusServiceUnavailable, map[string]string{reason: err.Error()})
 }
 
-func refuse(w http.ResponseWriter, what string) {
-	answer(w, http.StatusBadRequest, map[string]string{"invalid": what})
+func writeInvalid(w http.ResponseWriter, reason string) {
+	writeJSON(w, http.StatusBadRequest, map[string]string{"invalid": reason})
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
-	text, err := json.Marshal(v)
+func writeJSON(w http.ResponseWriter, status int, v any) {
+	body, err := json.Marshal(v)
 	if err != nil { // a raw value that is no JSON, which no domain lets in
-		status, text = http.StatusInternalServerError, []byte(`{"unknown":"an item that is no JSON"}`)
+		status, body = http.StatusInternalServerError, []byte(`{"unknown":"an item that is no JSON"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)+1))
 	w.WriteHeader(status)
-	_, _ = w.Write(append(text, '\n')) // who no longer listens has left the call
+	_, _ = w.Write(append(body, '\n')) // who no longer listens has left the call
 }
 
 // query gives the parameters of a call, each at most once and known.
-func query(r *http.Request, known ...string) (map[string]string, error) {
+func parseQuery(r *http.Request, known ...string) (map[string]string, error) {
 	values, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
 		return nil, err
 	}
 	q := map[string]string{}
 	for _, name := range known {
-		if list := values[name]; len(list) == 1 && len(list[0]) <= maxName {
+		if list := values[name]; len(list) == 1 && len(list[0]) <= maxParameterBytes {
 			q[name] = list[0]
 		} else if len(list) > 0 {
-			return nil, fmt.Errorf("%s: once, and at most %d bytes", name, maxName)
+			return nil, fmt.Errorf("%s: once, and at most %d bytes", name, maxParameterBytes)
 		}
 		delete(values, name)
 	}
@@ -278,19 +278,19 @@
 }
 
 // number reads a parameter of 0 to most, 0 where it is missing.
-func number(q map[string]string, name string, most uint64) (uint64, error) {
+func parseNumber(q map[string]string, name string, maxValue uint64) (uint64, error) {
 	if q[name] == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(q[name], 10, 64)
-	if err != nil || n > most {
-		return 0, fmt.Errorf("%s: a number from 0 to %d is expected", name, most)
+	if err != nil || n > maxValue {
+		return 0, fmt.Errorf("%s: a number from 0 to %d is expected", name, maxValue)
 	}
 	return n, nil
 }
 
 // checkAddr looks at an address that a follower wants told to others.
-func checkAddr(addr string) error {
+func validateAddr(addr string) error {
 	if addr == "" {
 		return nil
 	}
--- a/internal/cluster/api/server_test.go
+++ b/internal/cluster/api/server_test.go
@@ -25,34 +25,34 @@
 }
 
 // client serves a handler and gives a client of it.
-func client(t *testing.T, h http.Handler) *api.Client {
+func newTestClient(t *testing.T, h http.Handler) *api.Client {
 	t.Helper()
 	addr, _ := apitest.Serve(t, h)
-	return clientOf(t, addr)
+	return newClientFor(t, addr)
 }
 
-func clientOf(t *testing.T, addr string) *api.Client {
-	via := api.NewTransport(time.Second, nil)
-	t.Cleanup(via.CloseIdleConnections)
-	return api.NewClient(addr, via)
+func newClientFor(t *testing.T, addr string) *api.Client {
+	transport := api.NewTransport(time.Second, nil)
+	t.Cleanup(transport.CloseIdleConnections)
+	return api.NewClient(addr, transport)
 }
 
-func TestWriteIsRefusedOnlyWhereItSurelyWasNotTaken(t *testing.T) {
+func TestWriteIsRefusedOnlyWhenCertainlyNotApplied(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
-	var says error
-	v.Fails = func(*record.Write) (bool, error) { return false, says }
-	asked := client(t, v.Handler(api.Options{}))
-	says = fmt.Errorf("%w: no leader", api.ErrRefused)
-	if _, err := asked.Write(t.Context(), apitest.Order("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) || !strings.Contains(err.Error(), "no leader") {
+	var writeErr error
+	v.Fails = func(*record.Write) (bool, error) { return false, writeErr }
+	asked := newTestClient(t, v.Handler(api.Options{}))
+	writeErr = fmt.Errorf("%w: no leader", api.ErrRefused)
+	if _, err := asked.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) || !strings.Contains(err.Error(), "no leader") {
 		t.Errorf("a refusal came as %v", err)
 	}
-	for _, says = range []error{api.ErrUnknown, errors.New("anything else"), context.DeadlineExceeded} {
-		if _, err := asked.Write(t.Context(), apitest.Order("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
-			t.Errorf("%v came as %v", says, err)
+	for _, writeErr = range []error{api.ErrUnknown, errors.New("anything else"), context.DeadlineExceeded} {
+		if _, err := asked.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
+			t.Errorf("%v came as %v", writeErr, err)
 		}
 	}
-	says = nil
-	r, err := asked.Write(t.Context(), apitest.Order("x1", "w1", 0))
+	writeErr = nil
+	r, err := asked.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0))
 	if err != nil || r.Outcome != record.Applied || r.Version != 1 {
 		t.Errorf("the result came as %+v, %v", r, err)
 	}
@@ -77,7 +77,7 @@
 		"a redirect":     func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/v1/status", http.StatusSeeOther) },
 		"a gate's error": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) },
 	} {
-		if _, err := client(t, h).Write(t.Context(), apitest.Order("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
+		if _, err := newTestClient(t, h).Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -86,16 +86,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := l.Addr().String()
+	closedAddr := l.Addr().String()
 	l.Close()
-	if _, err := clientOf(t, nobody).Write(t.Context(), apitest.Order("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) {
+	if _, err := newClientFor(t, closedAddr).Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) {
 		t.Errorf("where nobody listens: %v", err)
 	}
 }
 
-func TestBadInputNamesThePlace(t *testing.T) {
+func TestInvalidInputErrorsNameLocation(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
-	addr, _ := apitest.Serve(t, v.Handler(api.Options{MaxBody: 512}))
+	addr, _ := apitest.Serve(t, v.Handler(api.Options{MaxBodyBytes: 512}))
 	for _, c := range []struct{ method, call, body, want string }{
 		{"POST", "/v1/write", `{"id":"x","bye":1}`, `byte 18: json: unknown field "bye"`},
 		{"POST", "/v1/write", `{"id":"x","base":-1}`, "base"},
@@ -117,11 +117,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var said struct{ Invalid string }
-		err = json.NewDecoder(resp.Body).Decode(&said)
+		var reply struct{ Invalid string }
+		err = json.NewDecoder(resp.Body).Decode(&reply)
 		resp.Body.Close()
-		if err != nil || resp.StatusCode != http.StatusBadRequest || !strings.Contains(said.Invalid, c.want) {
-			t.Errorf("%s %s: status %d, %q, %v; %q is expected", c.call, c.body, resp.StatusCode, said.Invalid, err, c.want)
+		if err != nil || resp.StatusCode != http.StatusBadRequest || !strings.Contains(reply.Invalid, c.want) {
+			t.Errorf("%s %s: status %d, %q, %v; %q is expected", c.call, c.body, resp.StatusCode, reply.Invalid, err, c.want)
 		}
 	}
 	if v.State.View().Version() != 0 {
@@ -129,12 +129,12 @@
 	}
 }
 
-func TestReadsAndFigures(t *testing.T) {
+func TestReadsAndMetrics(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
 	v.Age.Store(int64(1500 * time.Millisecond))
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	c := clientOf(t, addr)
-	if _, err := c.Write(t.Context(), apitest.Order("x1", "first", 0)); err != nil {
+	c := newClientFor(t, addr)
+	if _, err := c.Write(t.Context(), apitest.DisableOrder("x1", "first", 0)); err != nil {
 		t.Fatal(err)
 	}
 	v.Add(t, 2)
@@ -152,7 +152,7 @@
 	if st, err := c.Status(t.Context()); err != nil || st.Version != 3 || st.State != "leader" {
 		t.Errorf("status: %+v, %v", st, err)
 	}
-	if _, err := c.Entries(t.Context(), api.Ask{Name: "o1", Silence: time.Second}); err != nil {
+	if _, err := c.Entries(t.Context(), api.EntriesRequest{Name: "o1", SilenceTimeout: time.Second}); err != nil {
 		t.Error(err)
 	}
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + addr + "/metrics")
--- a/internal/cluster/api/wire.go
+++ b/internal/cluster/api/wire.go
@@ -22,17 +22,17 @@
 
 // Bounds of an answer that is read.
 const (
-	mostHead    = 64 << 10 // bytes of its first and last line
-	DefaultMost = 256 << 20
-	readBuffer  = 64 << 10
-	maxPath     = 64 // names of a path
+	maxLineBytes         = 64 << 10 // bytes of its first and last line
+	DefaultMaxBatchBytes = 256 << 20
+	readBufferBytes      = 64 << 10
+	maxPathLength        = 64 // names of a path
 )
 
 // ErrFormat is an answer in a form that only a newer program knows.
 var ErrFormat = errors.New("a newer format")
 
-// Head is the first line of an answer to /v1/entries.
-type Head struct {
+// Header is the first line of an answer to /v1/entries.
+type Header struct {
 	Format  int            `json:"format"`
 	Cluster string         `json:"cluster"` // its id
 	Kind    string         `json:"kind"`
@@ -48,24 +48,24 @@
 	Count    int   `json:"count"` // lines between the first and the last
 }
 
-type endLine struct {
+type trailerLine struct {
 	End  bool   `json:"end"`
 	Hash string `json:"hash"`
 }
 
 // Batch is a whole answer to /v1/entries: one that came to its end, or one that is to be written.
 type Batch struct {
-	Head
-	Entries [][]byte // of KindEntries, as record.Encode made them
-	Saved   []byte   // of KindState, as record.Save wrote it
+	Header
+	Entries    [][]byte // of KindEntries, as record.Encode made them
+	SavedState []byte   // of KindState, as record.Save wrote it
 }
 
 // State reads the state of a Batch of KindState.
-func (b *Batch) State() io.Reader { return bytes.NewReader(b.Saved) }
+func (b *Batch) State() io.Reader { return bytes.NewReader(b.SavedState) }
 
 // Bytes is how long the batch's lines are together, in bytes, without the first and the last.
-func (b *Batch) Bytes() int {
-	n := len(b.Saved)
+func (b *Batch) Size() int {
+	n := len(b.SavedState)
 	for _, e := range b.Entries {
 		n += len(e) + 1
 	}
@@ -73,68 +73,68 @@
 }
 
 // AppendHead appends the first line.
-func (h *Head) AppendHead(to []byte) []byte {
+func (h *Header) AppendHeader(dst []byte) []byte {
 	line, err := json.Marshal(h)
 	if err != nil { // strings and numbers only
 		panic(err)
 	}
-	return append(append(to, line...), '\n')
+	return append(append(dst, line...), '\n')
 }
 
 // AppendEnd appends the last line.
-func (h *Head) AppendEnd(to []byte) []byte {
-	line, err := json.Marshal(endLine{true, h.Hash})
+func (h *Header) AppendTrailer(dst []byte) []byte {
+	line, err := json.Marshal(trailerLine{true, h.Hash})
 	if err != nil {
 		panic(err)
 	}
-	return append(append(to, line...), '\n')
+	return append(append(dst, line...), '\n')
 }
 
 // Append appends the batch as it is sent and kept.
-func (b *Batch) Append(to []byte) []byte {
-	to = b.AppendHead(to)
+func (b *Batch) Append(dst []byte) []byte {
+	dst = b.AppendHeader(dst)
 	for _, e := range b.Entries {
-		to = append(append(to, e...), '\n')
+		dst = append(append(dst, e...), '\n')
 	}
-	return b.AppendEnd(append(to, b.Saved...))
+	return b.AppendTrailer(append(dst, b.SavedState...))
 }
 
 // ReadBatch reads a batch to its last line and to from's end. Whatever is missing, too much or over most bytes is an error,
 // and then there is no batch. It does not apply anything: whether the hash is right is seen by who does.
-func ReadBatch(from io.Reader, most int64) (*Batch, error) {
-	r := bufio.NewReaderSize(&bounded{from, most + 2*mostHead}, readBuffer)
-	line, err := readLine(r, nil, mostHead)
+func ReadBatch(src io.Reader, maxBytes int64) (*Batch, error) {
+	r := bufio.NewReaderSize(&boundedReader{src, maxBytes + 2*maxLineBytes}, readBufferBytes)
+	line, err := readLine(r, nil, maxLineBytes)
 	if err != nil {
 		return nil, fmt.Errorf("first line: %w", err)
 	}
 	b := &Batch{}
-	if err := json.Unmarshal(line, &b.Head); err != nil {
+	if err := json.Unmarshal(line, &b.Header); err != nil {
 		return nil, fmt.Errorf("first line: %w", err)
 	}
-	if err := b.Head.check(); err != nil {
+	if err := b.Header.validate(); err != nil {
 		return nil, err
 	}
 	for i := range b.Count {
 		if b.Kind == KindState {
-			b.Saved, err = readLine(r, b.Saved, most)
-			b.Saved = append(b.Saved, '\n')
+			b.SavedState, err = readLine(r, b.SavedState, maxBytes)
+			b.SavedState = append(b.SavedState, '\n')
 		} else {
-			line, err = readLine(r, nil, most)
+			line, err = readLine(r, nil, maxBytes)
 			b.Entries = append(b.Entries, line)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("line %d of %d: %w", i+1, b.Count, err)
 		}
 	}
-	if line, err = readLine(r, nil, mostHead); err != nil {
+	if line, err = readLine(r, nil, maxLineBytes); err != nil {
 		return nil, fmt.Errorf("last line: %w", err)
 	}
-	var end endLine
-	if err := json.Unmarshal(line, &end); err != nil || !end.End {
+	var trailer trailerLine
+	if err := json.Unmarshal(line, &trailer); err != nil || !trailer.End {
 		return nil, fmt.Errorf("last line: %.80q is not one", line)
 	}
-	if end.Hash != b.Hash {
-		return nil, fmt.Errorf("last line: hash %.80q, first line %.80q", end.Hash, b.Hash)
+	if trailer.Hash != b.Hash {
+		return nil, fmt.Errorf("last line: hash %.80q, first line %.80q", trailer.Hash, b.Hash)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
 		return nil, errors.New("more after the last line")
@@ -142,7 +142,7 @@
 	return b, nil
 }
 
-func (h *Head) check() error {
+func (h *Header) validate() error {
 	switch {
 	case h.Format > Format:
 		return fmt.Errorf("%w: %d", ErrFormat, h.Format)
@@ -152,7 +152,7 @@
 		return fmt.Errorf("kind %.40q", h.Kind)
 	case h.Count < 0 || h.AgeMs < 0 || h.WaitedMs < 0:
 		return errors.New("a negative count or age")
-	case len(h.Path) == 0 || len(h.Path) > maxPath:
+	case len(h.Path) == 0 || len(h.Path) > maxPathLength:
 		return fmt.Errorf("a path of %d names", len(h.Path))
 	case h.Kind == KindState && h.Count == 0:
 		return errors.New("a state of no lines")
@@ -171,16 +171,16 @@
 }
 
 // readLine appends a line without its end to a slice.
-func readLine(r *bufio.Reader, to []byte, most int64) ([]byte, error) {
+func readLine(r *bufio.Reader, dst []byte, maxBytes int64) ([]byte, error) {
 	for {
 		part, err := r.ReadSlice('\n')
-		if int64(len(to)+len(part)) > most+1 {
-			return nil, fmt.Errorf("over %d bytes", most)
+		if int64(len(dst)+len(part)) > maxBytes+1 {
+			return nil, fmt.Errorf("over %d bytes", maxBytes)
 		}
-		to = append(to, part...)
+		dst = append(dst, part...)
 		switch err {
 		case nil:
-			return to[:len(to)-1], nil
+			return dst[:len(dst)-1], nil
 		case bufio.ErrBufferFull:
 		case io.EOF:
 			return nil, io.ErrUnexpectedEOF
@@ -191,16 +191,16 @@
 }
 
 // bounded is a reader that fails after so many bytes, where io.LimitReader would look like the end.
-type bounded struct {
-	from io.Reader
-	left int64
+type boundedReader struct {
+	src       io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *boundedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, errors.New("the answer is too long")
 	}
-	n, err := b.from.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.src.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	return n, err
 }
--- a/internal/cluster/apitest/voter.go
+++ b/internal/cluster/apitest/voter.go
@@ -23,21 +23,21 @@
 
 // Voter is a whole cluster in one member. Several with one State are its voters.
 type Voter struct {
-	Name    string
-	Cluster string
-	State   *replica.Replica
-	Leads   atomic.Bool
-	Age     atomic.Int64 // of the state, in ns
+	Name     string
+	Cluster  string
+	State    *replica.Replica
+	IsLeader atomic.Bool
+	Age      atomic.Int64 // of the state, in ns
 	// Fails, where it is set, is what Write answers after it has, or has not, taken the write.
 	Fails func(w *record.Write) (take bool, err error)
-	// Leases, where it is set, answers questions about leases.
-	Leases func(ask lease.Ask) (lease.Answer, error)
+	// LeaseHook, where it is set, answers questions about leases.
+	LeaseHook func(ask lease.Ask) (lease.Answer, error)
 }
 
 // NewVoter returns a leading voter with an empty state that keeps so many entries.
 func NewVoter(name string, entries int) *Voter {
 	v := &Voter{Name: name, Cluster: Cluster, State: replica.New(record.New(record.Bounds{}, record.Orders()), entries, 0)}
-	v.Leads.Store(true)
+	v.IsLeader.Store(true)
 	return v
 }
 
@@ -63,7 +63,7 @@
 }
 
 // Order is a write that disables a worker.
-func Order(id, worker string, base record.Version) *record.Write {
+func DisableOrder(id, worker string, base record.Version) *record.Write {
 	value, _ := json.Marshal(map[string]any{"do": record.Disable, "by": "test", "until_ms": 0})
 	return &record.Write{ID: id, By: "test", Base: base,
 		Changes: []record.Change{{Kind: record.OrderKind, Key: record.OfWorker + "/" + worker, Value: value}}}
@@ -73,9 +73,9 @@
 func (v *Voter) Add(t testing.TB, n int) record.Version {
 	t.Helper()
 	for range n {
-		at := v.State.View().Version()
-		if r, err := v.apply(Order("w"+strconv.Itoa(int(at)), "w"+strconv.Itoa(int(at)), at)); err != nil || r.Outcome != record.Applied {
-			t.Fatalf("write after version %d: %+v, %v", at, r, err)
+		version := v.State.View().Version()
+		if r, err := v.apply(DisableOrder("w"+strconv.Itoa(int(version)), "w"+strconv.Itoa(int(version)), version)); err != nil || r.Outcome != record.Applied {
+			t.Fatalf("write after version %d: %+v, %v", version, r, err)
 		}
 	}
 	return v.State.View().Version()
@@ -83,10 +83,10 @@
 
 // Lease refuses, or has Leases answer.
 func (v *Voter) Lease(_ context.Context, ask lease.Ask) (lease.Answer, error) {
-	if v.Leases == nil {
+	if v.LeaseHook == nil {
 		return lease.Answer{}, fmt.Errorf("%w: no limits are divided", api.ErrRefused)
 	}
-	return v.Leases(ask)
+	return v.LeaseHook(ask)
 }
 
 // Read gives the state.
@@ -101,7 +101,7 @@
 func (v *Voter) Status() api.Status {
 	st := api.Status{Cluster: v.Cluster, Name: v.Name, Role: "voter", State: "follower", Path: []string{v.Name},
 		Version: uint64(v.State.View().Version()), Hash: v.State.View().Hash(), AgeMs: v.Age.Load() / int64(time.Millisecond)}
-	if v.Leads.Load() {
+	if v.IsLeader.Load() {
 		st.State = "leader"
 	}
 	return st
@@ -119,24 +119,24 @@
 // Serve serves a handler on a loopback port until the test ends or stop is called, which breaks all connections.
 func Serve(t testing.TB, h http.Handler) (addr string, stop func()) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop = ServeOn(t, l, h)
-	return l.Addr().String(), stop
+	stop = ServeOn(t, ln, h)
+	return ln.Addr().String(), stop
 }
 
 // ServeOn is Serve on a listener that is there.
-func ServeOn(t testing.TB, l net.Listener, h http.Handler) (stop func()) {
-	s := api.NewServer(h)
+func ServeOn(t testing.TB, ln net.Listener, h http.Handler) (stop func()) {
+	server := api.NewServer(h)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = s.Serve(l)
+		_ = server.Serve(ln)
 	}()
 	stop = func() {
-		_ = s.Close()
+		_ = server.Close()
 		<-done
 	}
 	t.Cleanup(stop)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -63,8 +63,8 @@
 	return out
 }
 
-// reign is what a voter does besides while it leads: it moves timelines.
-func (c *Config) reign() func(context.Context, api.Member) {
+// leaderTask is what a voter does besides while it leads: it moves timelines.
+func (c *Config) leaderTask() func(context.Context, api.Member) {
 	if !c.Rules {
 		return nil
 	}
@@ -72,8 +72,8 @@
 	return func(ctx context.Context, m api.Member) { reconciler.New(log).Run(ctx, m, reconciler.Pause) }
 }
 
-// dialTime bounds an observer's dial.
-const dialTime = 500 * time.Millisecond
+// dialTimeout bounds an observer's dial.
+const dialTimeout = 500 * time.Millisecond
 
 // Open takes this process's part. It returns without waiting for any other. The error is one line with its place.
 func Open(ctx context.Context, c Config) (*Member, error) {
@@ -86,7 +86,7 @@
 	metrics := api.NewMetrics()
 	m.metrics = metrics
 	if c.Rules && c.Limits == nil {
-		c.Limits = fleetLimits()
+		c.Limits = ruleLimits()
 	}
 	mount := func(*http.ServeMux) {}
 	if slices.ContainsFunc(c.Voters, func(p Peer) bool { return p.Name == c.Member }) {
@@ -94,31 +94,31 @@
 		for _, p := range c.Voters {
 			voters = append(voters, voter.Peer(p))
 		}
-		v, err := voter.Open(ctx, voter.Config{Cluster: c.Name, Name: c.Member, Folder: c.Folder, Log: c.Log,
-			Voters: voters, Bounds: record.DefaultBounds(), Domains: c.domains(), Dial: dial, Limits: c.Limits, Reign: c.reign()})
+		voterMember, err := voter.Open(ctx, voter.Config{Cluster: c.Name, Name: c.Member, Folder: c.Folder, Log: c.Log,
+			Voters: voters, Bounds: record.DefaultBounds(), Domains: c.domains(), Dial: dial, Limits: c.Limits, Reign: c.leaderTask()})
 		if err != nil {
 			ln.Close()
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
-		m.Member, m.close, mount = v, v.Close, v.Mount
+		m.Member, m.close, mount = voterMember, voterMember.Close, voterMember.Mount
 		if c.Limits != nil {
-			metrics.Registry.MustRegister(v.LeaseMetrics())
+			metrics.Registry.MustRegister(voterMember.LeaseMetrics())
 		}
 	} else {
 		var sources []observer.Source
 		for _, p := range append(slices.Clone(c.Voters), c.Follow...) {
 			sources = append(sources, observer.Source(p))
 		}
-		via := api.NewTransport(dialTime, dial)
+		transport := api.NewTransport(dialTimeout, dial)
 		o, err := observer.Open(ctx, observer.Config{Cluster: c.Name, Name: c.Member, Addr: ln.Addr().String(), Folder: c.Folder,
-			Sources: sources, Log: c.Log, Metrics: metrics, Via: via,
+			Sources: sources, Log: c.Log, Metrics: metrics, Via: transport,
 			Bounds: record.DefaultBounds(), Domains: c.domains()})
 		if err != nil {
 			ln.Close()
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
 		m.Member, m.close = o, func() error {
-			defer via.CloseIdleConnections()
+			defer transport.CloseIdleConnections()
 			return o.Close()
 		}
 	}
@@ -135,12 +135,12 @@
 // Figures are the member's, to be added to.
 func (m *Member) Figures() *prometheus.Registry { return m.metrics.Registry }
 
-// fleetLimits are the limits of the rules that a state has, for one goroutine. A state that cannot be read has those before.
-func fleetLimits() func(record.View) []lease.Limit {
-	dec := &rules.Decoder{}
+// ruleLimits are the limits of the rules that a state has, for one goroutine. A state that cannot be read has those before.
+func ruleLimits() func(record.View) []lease.Limit {
+	decoder := &rules.Decoder{}
 	var table *rules.Table
 	return func(v record.View) []lease.Limit {
-		s, err := dec.Load(v)
+		s, err := decoder.Load(v)
 		if err == nil && record.Knows(v, rules.RuleKind) {
 			table = table.Update(s, v.Version())
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -59,16 +59,16 @@
 }
 
 // heard is the limits of a member of which none is full.
-type heard struct{}
+type unlimited struct{}
 
-func (heard) Set([]lease.Limit) {}
-func (heard) Take([]string, time.Duration) (limits.Ticket, time.Duration, bool) {
+func (unlimited) Set([]lease.Limit) {}
+func (unlimited) Take([]string, time.Duration) (limits.Ticket, time.Duration, bool) {
 	return limits.Ticket{}, 0, true
 }
-func (heard) Done(limits.Ticket) {}
+func (unlimited) Done(limits.Ticket) {}
 
 // A rule written at one member refuses calls at the others, and a dry run gives the answer that the write would have.
-func TestARuleWrittenAtOneMemberHoldsAtOthers(t *testing.T) {
+func TestRuleAppliesAtAllMembers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	open := func(c Config) *Member {
@@ -84,14 +84,14 @@
 	voter := open(Config{Member: "v", Folder: t.TempDir(), Voters: []Peer{{"v", "127.0.0.1:0"}}})
 	at := []Peer{{"v", voter.Addr().String()}}
 	members := []*Member{voter, open(Config{Member: "o1", Voters: at}), open(Config{Member: "o2", Voters: at})}
-	var gates []*enforcement.Enforcer
+	var enforcers []*enforcement.Enforcer
 	for _, m := range members {
-		g := enforcement.New(enforcement.Config{Member: m, Limits: heard{}, Island: "a", Hall: "h", Classes: []enforcement.Class{{Name: "booking"}}, Log: slog.New(slog.DiscardHandler)})
+		g := enforcement.New(enforcement.Config{Member: m, Limits: unlimited{}, Island: "a", Hall: "h", Classes: []enforcement.Class{{Name: "booking"}}, Log: slog.New(slog.DiscardHandler)})
 		follow, stop := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() { defer close(done); g.Run(follow) }()
 		t.Cleanup(func() { stop(); <-done })
-		gates = append(gates, g)
+		enforcers = append(enforcers, g)
 	}
 	for members[1].Replica() == nil {
 		time.Sleep(time.Millisecond)
@@ -106,7 +106,7 @@
 	if err != nil || r.Outcome != record.Applied {
 		t.Fatal(r, err)
 	}
-	for i, g := range gates {
+	for i, g := range enforcers {
 		for g.Version() < r.Version && ctx.Err() == nil { // a table of the empty record may come first
 			time.Sleep(time.Millisecond)
 		}
@@ -119,7 +119,7 @@
 	}
 	post := func(m *Member, body string) string {
 		t.Helper()
-		a, err := dialed(m.Addr().String(), "/v1/dryrun", body)
+		a, err := post(m.Addr().String(), "/v1/dryrun", body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,14 +152,14 @@
 	if _, err := m.Write(context.Background(), &record.Write{ID: "w", By: "b"}); err != nil { // there is a state then
 		t.Fatal(err)
 	}
-	got, err := dialed(m.Addr().String(), "/v1/dryrun", `{"id":"x","by":"root","base":0,"changes":[]}`)
+	got, err := post(m.Addr().String(), "/v1/dryrun", `{"id":"x","by":"root","base":0,"changes":[]}`)
 	if want := `404 {"nothing":"this cluster was formed without rules"}` + "\n"; err != nil || got != want {
 		t.Errorf("%s %v", got, err)
 	}
 }
 
 // dialed posts to a member as any client does, and gives the status and the body.
-func dialed(addr, path, body string) (string, error) {
+func post(addr, path, body string) (string, error) {
 	via := &http.Transport{DisableKeepAlives: true}
 	a, err := (&http.Client{Transport: via}).Post("http://"+addr+path, "application/json", strings.NewReader(body))
 	if err != nil {
--- a/internal/cluster/frames/frames.go
+++ b/internal/cluster/frames/frames.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	preface   = "\x00burlpass-1\n" // no request begins with a zero byte
-	headBytes = 8                  // length and its complement, two bytes each, and a CRC-32C over the payload
-	mostBytes = 16 << 10           // of a payload
+	preface         = "\x00burlpass-1\n" // no request begins with a zero byte
+	headerBytes     = 8                  // length and its complement, two bytes each, and a CRC-32C over the payload
+	maxPayloadBytes = 16 << 10           // of a payload
 )
 
 // ErrSpoilt is a frame that is not what was sent. The connection is of no use any more.
-var ErrSpoilt = errors.New("bytes were spoilt on the way")
+var ErrCorrupted = errors.New("bytes were spoilt on the way")
 
 // Dial makes a connection of a dialer's one that speaks frames.
 func Dial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -34,7 +34,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), dialled: true, framed: newMode(true)}, nil
+		return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), dialed: true, framed: newAtomicBool(true)}, nil
 	}
 }
 
@@ -48,10 +48,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), framed: newMode(false)}, nil
+	return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), framed: newAtomicBool(false)}, nil
 }
 
-func newMode(framed bool) *atomic.Bool {
+func newAtomicBool(framed bool) *atomic.Bool {
 	m := &atomic.Bool{}
 	m.Store(framed)
 	return m
@@ -60,41 +60,41 @@
 // conn is one end. What was read of an unfinished frame is kept, for reads may be broken off by a deadline and go on.
 type conn struct {
 	net.Conn
-	table   *crc32.Table
-	dialled bool
-	framed  *atomic.Bool // of who has accepted, known after the first read, which comes before the first write
-
-	reads sync.Mutex
-	known bool   // whether the preface was there
-	raw   []byte // read and not looked at
-	ready []byte // payload that nobody has had
-	bad   bool
-
-	writes sync.Mutex
-	begun  bool // the preface was sent
-	out    []byte
+	table  *crc32.Table
+	dialed bool
+	framed *atomic.Bool // of who has accepted, known after the first read, which comes before the first write
+
+	readMu         sync.Mutex
+	prefaceChecked bool   // whether the preface was there
+	undecoded      []byte // read and not looked at
+	decoded        []byte // payload that nobody has had
+	corrupted      bool
+
+	writeMu     sync.Mutex
+	prefaceSent bool // the preface was sent
+	writeBuffer []byte
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	c.reads.Lock()
-	defer c.reads.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	for len(b) > 0 {
-		if len(c.ready) > 0 {
-			n := copy(b, c.ready)
-			c.ready = c.ready[n:]
+		if len(c.decoded) > 0 {
+			n := copy(b, c.decoded)
+			c.decoded = c.decoded[n:]
 			return n, nil
 		}
-		if err := c.parse(); err != nil {
+		if err := c.decode(); err != nil {
 			return 0, err
 		}
-		if len(c.ready) > 0 {
+		if len(c.decoded) > 0 {
 			continue
 		}
-		if c.known && !c.framed.Load() {
+		if c.prefaceChecked && !c.framed.Load() {
 			return c.Conn.Read(b)
 		}
 		n, err := c.fill()
-		if n == 0 && errors.Is(err, io.EOF) && len(c.raw) > 0 {
+		if n == 0 && errors.Is(err, io.EOF) && len(c.undecoded) > 0 {
 			return 0, io.ErrUnexpectedEOF
 		}
 		if n == 0 && err != nil {
@@ -106,46 +106,46 @@
 
 // fill reads what there is.
 func (c *conn) fill() (int, error) {
-	var piece [4 << 10]byte
-	n, err := c.Conn.Read(piece[:])
-	c.raw = append(c.raw, piece[:n]...)
+	var chunk [4 << 10]byte
+	n, err := c.Conn.Read(chunk[:])
+	c.undecoded = append(c.undecoded, chunk[:n]...)
 	return n, err
 }
 
 // parse takes a preface or a frame from raw, if a whole one is there.
-func (c *conn) parse() error {
+func (c *conn) decode() error {
 	switch {
-	case c.bad:
-		return ErrSpoilt
-	case !c.known && c.dialled:
-		c.known = true
-	case !c.known && len(c.raw) > 0 && c.raw[0] != preface[0]:
-		c.known, c.ready, c.raw = true, c.raw, nil
+	case c.corrupted:
+		return ErrCorrupted
+	case !c.prefaceChecked && c.dialed:
+		c.prefaceChecked = true
+	case !c.prefaceChecked && len(c.undecoded) > 0 && c.undecoded[0] != preface[0]:
+		c.prefaceChecked, c.decoded, c.undecoded = true, c.undecoded, nil
 		return nil
-	case !c.known && len(c.raw) >= len(preface):
-		if c.bad = !bytes.HasPrefix(c.raw, []byte(preface)); c.bad {
-			return ErrSpoilt
+	case !c.prefaceChecked && len(c.undecoded) >= len(preface):
+		if c.corrupted = !bytes.HasPrefix(c.undecoded, []byte(preface)); c.corrupted {
+			return ErrCorrupted
 		}
 		c.framed.Store(true)
-		c.known, c.raw = true, c.raw[len(preface):]
+		c.prefaceChecked, c.undecoded = true, c.undecoded[len(preface):]
 	}
-	if !c.known || !c.framed.Load() || len(c.raw) < headBytes {
+	if !c.prefaceChecked || !c.framed.Load() || len(c.undecoded) < headerBytes {
 		return nil
 	}
-	n := int(binary.BigEndian.Uint16(c.raw))
-	if n^0xffff != int(binary.BigEndian.Uint16(c.raw[2:])) || n > mostBytes || n == 0 {
-		c.bad = true
-		return ErrSpoilt
+	n := int(binary.BigEndian.Uint16(c.undecoded))
+	if n^0xffff != int(binary.BigEndian.Uint16(c.undecoded[2:])) || n > maxPayloadBytes || n == 0 {
+		c.corrupted = true
+		return ErrCorrupted
 	}
-	if len(c.raw) < headBytes+n {
+	if len(c.undecoded) < headerBytes+n {
 		return nil
 	}
-	payload := c.raw[headBytes : headBytes+n]
-	if crc32.Checksum(payload, c.table) != binary.BigEndian.Uint32(c.raw[4:]) {
-		c.bad = true
-		return ErrSpoilt
+	payload := c.undecoded[headerBytes : headerBytes+n]
+	if crc32.Checksum(payload, c.table) != binary.BigEndian.Uint32(c.undecoded[4:]) {
+		c.corrupted = true
+		return ErrCorrupted
 	}
-	c.ready, c.raw = payload, c.raw[headBytes+n:]
+	c.decoded, c.undecoded = payload, c.undecoded[headerBytes+n:]
 	return nil
 }
 
@@ -154,22 +154,22 @@
 	if !c.framed.Load() {
 		return c.Conn.Write(b)
 	}
-	c.writes.Lock()
-	defer c.writes.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	for sent := 0; sent < len(b); {
-		part := b[sent:min(len(b), sent+mostBytes)]
-		c.out = c.out[:0]
-		if c.dialled && !c.begun {
-			c.out = append(c.out, preface...)
+		part := b[sent:min(len(b), sent+maxPayloadBytes)]
+		c.writeBuffer = c.writeBuffer[:0]
+		if c.dialed && !c.prefaceSent {
+			c.writeBuffer = append(c.writeBuffer, preface...)
 		}
-		c.out = binary.BigEndian.AppendUint16(c.out, uint16(len(part)))
-		c.out = binary.BigEndian.AppendUint16(c.out, ^uint16(len(part)))
-		c.out = binary.BigEndian.AppendUint32(c.out, crc32.Checksum(part, c.table))
-		c.out = append(c.out, part...)
-		if _, err := c.Conn.Write(c.out); err != nil {
+		c.writeBuffer = binary.BigEndian.AppendUint16(c.writeBuffer, uint16(len(part)))
+		c.writeBuffer = binary.BigEndian.AppendUint16(c.writeBuffer, ^uint16(len(part)))
+		c.writeBuffer = binary.BigEndian.AppendUint32(c.writeBuffer, crc32.Checksum(part, c.table))
+		c.writeBuffer = append(c.writeBuffer, part...)
+		if _, err := c.Conn.Write(c.writeBuffer); err != nil {
 			return sent, err // where a frame went in part, the other side finds it spoilt
 		}
-		c.begun = true
+		c.prefaceSent = true
 		sent += len(part)
 	}
 	return len(b), nil
@@ -185,9 +185,9 @@
 
 // Quiet tells that nothing has come that was not read. It is for who does not read meanwhile.
 func (c *conn) Quiet() bool {
-	if !c.reads.TryLock() {
+	if !c.readMu.TryLock() {
 		return true
 	}
-	defer c.reads.Unlock()
-	return len(c.raw) == 0 && len(c.ready) == 0 && transport.Quiet(c.Conn)
+	defer c.readMu.Unlock()
+	return len(c.undecoded) == 0 && len(c.decoded) == 0 && transport.Quiet(c.Conn)
 }
--- a/internal/cluster/frames/frames_test.go
+++ b/internal/cluster/frames/frames_test.go
@@ -12,16 +12,16 @@
 )
 
 // pair gives both ends of a connection, of which the dialled one's bytes go through spoil.
-func pair(t *testing.T, spoil func([]byte)) (dialled, accepted net.Conn) {
+func connPair(t *testing.T, corrupt func([]byte)) (dialed, accepted net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	dialled, err = Dial(func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dialed, err = Dial(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return &spoiler{c, spoil}, err
+		return &corruptingConn{c, corrupt}, err
 	})(context.Background(), "tcp4", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -29,30 +29,30 @@
 	if accepted, err = Listen(l).Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { dialled.Close(); accepted.Close() })
-	return dialled, accepted
+	t.Cleanup(func() { dialed.Close(); accepted.Close() })
+	return dialed, accepted
 }
 
-type spoiler struct {
+type corruptingConn struct {
 	net.Conn
-	spoil func([]byte)
+	corrupt func([]byte)
 }
 
-func (s *spoiler) Write(b []byte) (int, error) {
+func (s *corruptingConn) Write(b []byte) (int, error) {
 	b = bytes.Clone(b)
-	s.spoil(b)
+	s.corrupt(b)
 	return s.Conn.Write(b)
 }
 
-func TestBothWaysInOrder(t *testing.T) {
-	a, b := pair(t, func([]byte) {})
+func TestBothDirectionsInOrder(t *testing.T) {
+	a, b := connPair(t, func([]byte) {})
 	r := rand.New(rand.NewPCG(1, 2))
-	said := make([]byte, 200_000)
-	for i := range said {
-		said[i] = byte(r.Uint32())
+	sent := make([]byte, 200_000)
+	for i := range sent {
+		sent[i] = byte(r.Uint32())
 	}
 	go func() {
-		for rest := said; len(rest) > 0; {
+		for rest := sent; len(rest) > 0; {
 			n, err := a.Write(rest[:min(len(rest), 1+r.IntN(40_000))])
 			if err != nil {
 				return
@@ -60,11 +60,11 @@
 			rest = rest[n:]
 		}
 	}()
-	back := make(chan []byte)
+	echoed := make(chan []byte)
 	go func() {
-		got := make([]byte, len(said))
+		got := make([]byte, len(sent))
 		io.ReadFull(a, got)
-		back <- got
+		echoed <- got
 	}()
 	// A read that is broken off takes nothing with it.
 	b.SetReadDeadline(time.Now().Add(-time.Second))
@@ -72,22 +72,22 @@
 		t.Error("a read went on after its deadline")
 	}
 	b.SetReadDeadline(time.Time{})
-	got := make([]byte, len(said))
-	if _, err := io.ReadFull(b, got); err != nil || !bytes.Equal(got, said) {
-		t.Fatalf("%v; equal: %v", err, bytes.Equal(got, said))
+	got := make([]byte, len(sent))
+	if _, err := io.ReadFull(b, got); err != nil || !bytes.Equal(got, sent) {
+		t.Fatalf("%v; equal: %v", err, bytes.Equal(got, sent))
 	}
 	b.Write(got)
-	if !bytes.Equal(<-back, said) {
+	if !bytes.Equal(<-echoed, sent) {
 		t.Error("the way back differs")
 	}
 }
 
 // TestEveryBit: whichever bit is turned, nobody reads what was not sent. A turned first byte makes a connection without frames,
 // whose first byte no HTTP request begins with.
-func TestEveryBit(t *testing.T) {
+func TestEveryBitFlipIsDetected(t *testing.T) {
 	const text = "GET /v1/read HTTP/1.1\r\n"
-	for bit := range 8 * (len(preface) + headBytes + len(text)) {
-		a, b := pair(t, func(b []byte) { b[bit/8] ^= 1 << (bit % 8) })
+	for bit := range 8 * (len(preface) + headerBytes + len(text)) {
+		a, b := connPair(t, func(b []byte) { b[bit/8] ^= 1 << (bit % 8) })
 		if _, err := a.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
@@ -97,14 +97,14 @@
 			if len(got) < 2 || bytes.HasPrefix(got, []byte("G")) {
 				t.Errorf("bit %d: %q, %v", bit, got, err)
 			}
-		} else if !errors.Is(err, ErrSpoilt) || len(got) > 0 {
+		} else if !errors.Is(err, ErrCorrupted) || len(got) > 0 {
 			t.Errorf("bit %d: %q, %v", bit, got, err)
 		}
 		b.Close()
 	}
 }
 
-func TestWithoutFrames(t *testing.T) {
+func TestPlainConnection(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/observer/disk_test.go
+++ b/internal/cluster/observer/disk_test.go
@@ -19,16 +19,16 @@
 	"burlpass/internal/record"
 )
 
-func TestRestartShowsNothingOlder(t *testing.T) {
+func TestRestartNeverGoesBack(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
 	v.Add(t, 3)
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
 	c := Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: t.TempDir()}
-	o := start(t, c)
-	reaches(t, o, 3)
+	o := openObserver(t, c)
+	waitForVersion(t, o, 3)
 	last := v.Add(t, 4) // a state, and entries after it
-	reaches(t, o, last)
-	if _, err := Open(t.Context(), o.c); err == nil || !strings.Contains(err.Error(), c.Folder) || !strings.Contains(err.Error(), "another process") {
+	waitForVersion(t, o, last)
+	if _, err := Open(t.Context(), o.config); err == nil || !strings.Contains(err.Error(), c.Folder) || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("a second one in the same folder: %v", err)
 	}
 	if err := o.Close(); err != nil {
@@ -40,12 +40,12 @@
 	older.Add(t, 2)
 	olderAddr, _ := apitest.Serve(t, older.Handler(api.Options{}))
 	c.Sources = []Source{{Name: "a", Addr: olderAddr}}
-	o = start(t, c)
+	o = openObserver(t, c)
 	view, age, err := o.Read(t.Context(), false)
 	if err != nil || view.Version() != last || view.Hash() != v.State.View().Hash() || age < 0 {
 		t.Fatalf("after the restart: %v, %v", view, err)
 	}
-	until(t, "an answer", func() bool { return o.Status().State == "following" })
+	waitFor(t, "an answer", func() bool { return o.Status().State == "following" })
 	if o.state.View().Version() != last {
 		t.Errorf("it went back to %d", o.state.View().Version())
 	}
@@ -54,35 +54,35 @@
 	}
 
 	c.Name = "another"
-	if _, err := Open(t.Context(), o.c.with(c)); err == nil || !strings.Contains(err.Error(), `belongs to member "o"`) || strings.Contains(err.Error(), "\n") {
+	if _, err := Open(t.Context(), o.config.withName(c)); err == nil || !strings.Contains(err.Error(), `belongs to member "o"`) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("a foreign folder: %v", err)
 	}
-	o.c.Folder = filepath.Join(c.Folder, fileName)
-	if _, err := Open(t.Context(), o.c); err == nil || !strings.Contains(err.Error(), o.c.Folder) {
+	o.config.Folder = filepath.Join(c.Folder, databaseName)
+	if _, err := Open(t.Context(), o.config); err == nil || !strings.Contains(err.Error(), o.config.Folder) {
 		t.Errorf("no folder: %v", err)
 	}
 }
 
 // TestAgeAfterARestartIsTheSources has the wall clock say that the state was the newest just now, and a source that it is older.
-func TestAgeAfterARestartIsTheSources(t *testing.T) {
-	folder, v := filled(t)
+func TestSourceAgeReplacesWallClockAgeAfterRestart(t *testing.T) {
+	folder, v := fillFolder(t)
 	v.Age.Store(int64(4 * time.Second))
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	o := start(t, Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: folder})
-	until(t, "an answer", func() bool { return o.Status().State == "following" })
+	o := openObserver(t, Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: folder})
+	waitFor(t, "an answer", func() bool { return o.Status().State == "following" })
 	if age := o.Status().AgeMs; age < 4000 {
 		t.Errorf("an age of %d ms", age)
 	}
 }
 
 // with is the started configuration with another name.
-func (c Config) with(other Config) Config {
+func (c Config) withName(other Config) Config {
 	c.Name = other.Name
 	return c
 }
 
 // filled makes a folder with a state and entries, of version 8.
-func filled(t *testing.T) (folder string, v *apitest.Voter) {
+func fillFolder(t *testing.T) (folder string, v *apitest.Voter) {
 	t.Helper()
 	folder, v = t.TempDir(), apitest.NewVoter("a", 0)
 	v.Add(t, 5)
@@ -90,14 +90,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.replace(v.State.View(), v.Cluster, time.Now()); err != nil {
+	if err := d.replaceState(v.State.View(), v.Cluster, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
 		since := v.State.View().Version()
 		v.Add(t, 1)
 		entries, now, _ := v.State.Since(since)
-		if err := d.add(&api.Batch{Entries: entries, Head: api.Head{Format: api.Format, Cluster: v.Cluster, Kind: api.KindEntries, Since: since,
+		if err := d.appendBatch(&api.Batch{Entries: entries, Header: api.Header{Format: api.Format, Cluster: v.Cluster, Kind: api.KindEntries, Since: since,
 			Version: now.Version(), Hash: now.Hash(), Path: []string{"a"}, Count: 1}}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
@@ -108,17 +108,17 @@
 	return folder, v
 }
 
-func TestDamagedFilesNeverShowAnythingElse(t *testing.T) {
-	folder, v := filled(t)
+func TestDamagedFilesAreDetected(t *testing.T) {
+	folder, v := fillFolder(t)
 	intact := map[string][]byte{}
-	for _, name := range []string{fileName, floorName} {
+	for _, name := range []string{databaseName, watermarkName} {
 		raw, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil {
 			t.Fatal(err)
 		}
 		intact[name] = raw
 	}
-	try := func(what string, name string, raw []byte) {
+	check := func(what string, name string, raw []byte) {
 		t.Helper()
 		folder := t.TempDir()
 		for other, raw := range intact {
@@ -129,21 +129,21 @@
 		if err := os.WriteFile(filepath.Join(folder, name), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, k, err := openDisk(folder, identity{"test", "o"}, logging.Discard())
+		d, stored, err := openDisk(folder, identity{"test", "o"}, logging.Discard())
 		if err != nil {
 			t.Errorf("%s: %v", what, err)
 			return
 		}
 		defer d.close()
-		if k.floor != 8 {
-			t.Errorf("%s: the floor is %d", what, k.floor)
+		if stored.watermark != 8 {
+			t.Errorf("%s: the floor is %d", what, stored.watermark)
 		}
 		state := replica.New(record.New(record.Bounds{}, record.Orders()), 0, 0)
-		if k.saved == nil {
-			if _, err := os.Stat(filepath.Join(folder, asideName)); err != nil {
+		if stored.savedState == nil {
+			if _, err := os.Stat(filepath.Join(folder, damagedName)); err != nil {
 				t.Errorf("%s: %v", what, err)
 			}
-		} else if err := k.restore(state); err != nil || state.View().Hash() != v.State.View().Hash() {
+		} else if err := stored.restore(state); err != nil || state.View().Hash() != v.State.View().Hash() {
 			t.Errorf("%s: what was read is version %d: %v", what, state.View().Version(), err)
 		}
 	}
@@ -153,20 +153,20 @@
 			for i := range changed[at:min(at+16, len(raw))] {
 				changed[at+i] ^= 0xa5
 			}
-			try(name+" changed", name, changed)
+			check(name+" changed", name, changed)
 		}
 		for _, n := range []int{1, 100, len(raw) / 2, len(raw) - 1} {
-			try(name+" cut", name, raw[:n])
+			check(name+" cut", name, raw[:n])
 		}
 	}
 }
 
-func TestFileDamagedUnderARunningObserverIsBegunAnew(t *testing.T) {
-	folder, v := filled(t)
+func TestRunningObserverRecreatesDamagedFile(t *testing.T) {
+	folder, v := fillFolder(t)
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	o := start(t, Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: folder})
-	until(t, "following", func() bool { return o.Status().State == "following" })
-	f, err := os.OpenFile(filepath.Join(folder, fileName), os.O_RDWR, 0)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: folder})
+	waitFor(t, "following", func() bool { return o.Status().State == "following" })
+	f, err := os.OpenFile(filepath.Join(folder, databaseName), os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,22 +177,22 @@
 	}
 	f.Close()
 	last := v.Add(t, 1)
-	reaches(t, o, last)
-	if _, err := os.Stat(filepath.Join(folder, asideName)); err != nil {
+	waitForVersion(t, o, last)
+	if _, err := os.Stat(filepath.Join(folder, damagedName)); err != nil {
 		t.Error(err)
 	}
 	if err := o.Close(); err != nil {
 		t.Fatal(err)
 	}
-	o = start(t, Config{Sources: []Source{{Name: "a", Addr: nowhere}}, Folder: folder})
+	o = openObserver(t, Config{Sources: []Source{{Name: "a", Addr: unreachableAddr}}, Folder: folder})
 	if view, _, err := o.Read(t.Context(), false); err != nil || view.Version() != last {
 		t.Errorf("after a restart: %v", err)
 	}
 }
 
-func TestWithoutItsStateItWaitsForOneThatIsNewEnough(t *testing.T) {
-	folder, v := filled(t)
-	if err := os.Truncate(filepath.Join(folder, fileName), 5000); err != nil {
+func TestLostStateWaitsForWatermark(t *testing.T) {
+	folder, v := fillFolder(t)
+	if err := os.Truncate(filepath.Join(folder, databaseName), 5000); err != nil {
 		t.Fatal(err)
 	}
 	older := apitest.NewVoter("a", 0)
@@ -202,67 +202,67 @@
 	var at atomic.Value
 	at.Store(olderAddr)
 	var asked atomic.Int64
-	o := start(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string {
+	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string {
 		asked.Add(1)
 		return at.Load().(string)
 	}})
-	until(t, "some tries", func() bool { return asked.Load() > 3 })
+	waitFor(t, "some tries", func() bool { return asked.Load() > 3 })
 	if view, _, err := o.Read(t.Context(), false); !errors.Is(err, api.ErrNothing) || o.Replica() != nil {
 		t.Errorf("it shows version %d where 8 had been shown: %v", view.Version(), err)
 	}
 	at.Store(addr)
 	stop()
-	reaches(t, o, 8)
+	waitForVersion(t, o, 8)
 }
 
 // full is a file on a disk that takes nothing while it is full.
-type full struct {
-	file
-	is atomic.Bool
+type fullDiskFile struct {
+	storage
+	full atomic.Bool
 }
 
-func (f *full) WriteAt(p []byte, at int64) (int, error) {
-	if f.is.Load() {
+func (f *fullDiskFile) WriteAt(p []byte, at int64) (int, error) {
+	if f.full.Load() {
 		return 0, &os.PathError{Op: "write", Path: f.Name(), Err: syscall.ENOSPC}
 	}
-	return f.file.WriteAt(p, at)
+	return f.storage.WriteAt(p, at)
 }
 
-func TestFullDiskShowsNothingThatIsNotKept(t *testing.T) {
-	folder, v := filled(t)
+func TestFullDiskPublishesNothing(t *testing.T) {
+	folder, v := fillFolder(t)
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
 	var at atomic.Value
-	at.Store(nowhere)
-	o := start(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string { return at.Load().(string) }})
-	f := &full{file: o.disk.floor.f}
-	o.disk.floor.f = f
-	f.is.Store(true)
+	at.Store(unreachableAddr)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string { return at.Load().(string) }})
+	f := &fullDiskFile{storage: o.disk.watermark.file}
+	o.disk.watermark.file = f
+	f.full.Store(true)
 	last := v.Add(t, 2)
 	at.Store(addr)
-	until(t, "the fault", func() bool { return o.Status().State == "failed" })
+	waitFor(t, "the fault", func() bool { return o.Status().State == "failed" })
 	if st := o.Status(); o.state.View().Version() != 8 || !strings.Contains(st.Fault, "no space") || !strings.Contains(st.Fault, folder) {
 		t.Errorf("on a full disk: %+v", st)
 	}
-	f.is.Store(false)
-	reaches(t, o, last)
-	until(t, "no fault", func() bool { return o.Status().State == "following" })
+	f.full.Store(false)
+	waitForVersion(t, o, last)
+	waitFor(t, "no fault", func() bool { return o.Status().State == "following" })
 }
 
-func TestEntriesOnDiskBecomeAState(t *testing.T) {
-	folder, v := filled(t)
+func TestCompactsEntriesIntoState(t *testing.T) {
+	folder, v := fillFolder(t)
 	d, k, err := openDisk(folder, identity{"test", "o"}, logging.Discard())
-	if err != nil || len(k.batches) != 3 || d.wantsState() {
+	if err != nil || len(k.batches) != 3 || d.needsCompaction() {
 		t.Fatalf("%d batches, %v", len(k.batches), err)
 	}
-	if d.batches = mostBatches + 1; !d.wantsState() {
+	if d.batches = maxBatches + 1; !d.needsCompaction() {
 		t.Error("it goes on with entries")
 	}
-	if err := errors.Join(d.replace(v.State.View(), v.Cluster, time.Now()), d.close()); err != nil {
+	if err := errors.Join(d.replaceState(v.State.View(), v.Cluster, time.Now()), d.close()); err != nil {
 		t.Fatal(err)
 	}
 	d, k, err = openDisk(folder, identity{"test", "o"}, logging.Discard())
-	if err != nil || len(k.batches) != 0 || k.about.Version != 8 || d.batches != 0 {
-		t.Errorf("%+v, %v", k.about, err)
+	if err != nil || len(k.batches) != 0 || k.metadata.Version != 8 || d.batches != 0 {
+		t.Errorf("%+v, %v", k.metadata, err)
 	}
 	_ = d.close()
 }
--- a/internal/cluster/observer/fleet_test.go
+++ b/internal/cluster/observer/fleet_test.go
@@ -17,22 +17,22 @@
 )
 
 // counted accepts connections whose bytes are counted.
-type counted struct {
+type countingListener struct {
 	net.Listener
 	sent *atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	sent *atomic.Int64
 }
 
-func (l counted) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return countedConn{c, l.sent}, err
+	return countingConn{c, l.sent}, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(int64(n))
 	return n, err
@@ -41,7 +41,7 @@
 // BenchmarkFleet has a root write ten times a second and observers follow it, all in this process over loopback. It tells
 // how long a write takes from the root's state to the observers', and what the root does for it. docs/cluster.md has the figures.
 func BenchmarkFleet(b *testing.B) {
-	const writes, every = 100, 100 * time.Millisecond
+	const writes, interval = 100, 100 * time.Millisecond
 	for _, c := range []struct {
 		n, places int
 		disk      bool
@@ -54,7 +54,7 @@
 				b.Fatal(err)
 			}
 			h := root.Handler(api.Options{Followers: c.places})
-			apitest.ServeOn(b, counted{l, &sent}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			apitest.ServeOn(b, countingListener{l, &sent}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
 				h.ServeHTTP(w, r)
 			}))
@@ -65,27 +65,27 @@
 					b.Fatal(err)
 				}
 				conf := Config{Name: "o" + strconv.Itoa(i), Addr: own.Addr().String(), Sources: []Source{{Name: "root", Addr: l.Addr().String()}},
-					Timings: Timings{}.orDefaults()}
+					Timings: Timings{}.withDefaults()}
 				if c.disk {
 					conf.Folder = b.TempDir()
 				}
-				all[i] = start(b, conf)
+				all[i] = openObserver(b, conf)
 				apitest.ServeOn(b, own, api.Handler(all[i], api.Options{}))
 			}
 			deepest := 0
 			for _, o := range all {
-				until(b, o.c.Name+" follows", func() bool { return o.Status().State == "following" })
+				waitFor(b, o.config.Name+" follows", func() bool { return o.Status().State == "following" })
 				deepest = max(deepest, len(o.Status().Path)-1)
 			}
 			written := make([]time.Time, writes+1) // by version
-			ways := make([][]time.Duration, c.n)
+			latencies := make([][]time.Duration, c.n)
 			var watching sync.WaitGroup
 			for i, o := range all {
 				watching.Go(func() {
 					for seen := record.Version(0); seen < writes; {
 						changed := o.state.Changed()
 						now := o.state.View().Version()
-						for at := time.Now(); seen < now; ways[i] = append(ways[i], at.Sub(written[seen])) {
+						for at := time.Now(); seen < now; latencies[i] = append(latencies[i], at.Sub(written[seen])) {
 							seen++
 						}
 						if now < writes {
@@ -96,8 +96,8 @@
 			}
 			sent.Store(0)
 			calls.Store(0)
-			began := time.Now()
-			tick := time.NewTicker(every)
+			startedAt := time.Now()
+			tick := time.NewTicker(interval)
 			for v := 1; v <= writes; v++ {
 				<-tick.C
 				written[v] = time.Now()
@@ -105,14 +105,14 @@
 			}
 			tick.Stop()
 			watching.Wait()
-			took := time.Since(began).Seconds()
-			flat := slices.Sorted(slices.Values(slices.Concat(ways...)))
-			ms := func(p float64) float64 { return flat[int(p*float64(len(flat)-1))].Seconds() * 1000 }
+			elapsed := time.Since(startedAt).Seconds()
+			sorted := slices.Sorted(slices.Values(slices.Concat(latencies...)))
+			ms := func(p float64) float64 { return sorted[int(p*float64(len(sorted)-1))].Seconds() * 1000 }
 			b.ReportMetric(ms(.5), "p50-ms")
 			b.ReportMetric(ms(.99), "p99-ms")
 			b.ReportMetric(ms(1), "max-ms")
-			b.ReportMetric(float64(calls.Load())/took, "calls/s")
-			b.ReportMetric(float64(sent.Load())/took/1000, "kB/s")
+			b.ReportMetric(float64(calls.Load())/elapsed, "calls/s")
+			b.ReportMetric(float64(sent.Load())/elapsed/1000, "kB/s")
 			b.ReportMetric(float64(deepest), "deepest")
 			b.ReportMetric(0, "ns/op")
 		})
--- a/internal/cluster/observer/floor.go
+++ b/internal/cluster/observer/floor.go
@@ -16,20 +16,20 @@
 // The floor is a file of two slots, written in turn: what breaks while one is being written leaves the other, and what was
 // being written had not been shown.
 const (
-	floorName = "shown"
-	slotBytes = 1024
-	slotHead  = 6 // checksum and length
+	watermarkName   = "shown"
+	slotBytes       = 1024
+	slotHeaderBytes = 6 // checksum and length
 )
 
 // shownAt says how far a member was. What is shown is never older.
-type shownAt struct {
+type watermark struct {
 	identity
 	ID      string         `json:"id"`
 	Version record.Version `json:"version"`
 }
 
 // file is what the floor needs of an *os.File.
-type file interface {
+type storage interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
@@ -37,50 +37,50 @@
 	Name() string
 }
 
-type floor struct {
-	f    file
-	now  shownAt
-	slot int64 // that holds now
+type watermarkFile struct {
+	file       storage
+	current    watermark
+	activeSlot int64 // that holds now
 }
 
 // openFloor reads the file, or makes it. A file that cannot be read is told in the log and begun anew: how far the
 // member was is then known from its state, if that is there.
-func openFloor(folder string, own identity, log *slog.Logger) (*floor, error) {
-	file, err := os.OpenFile(filepath.Join(folder, floorName), os.O_RDWR|os.O_CREATE, 0o600)
+func openWatermark(folder string, owner identity, log *slog.Logger) (*watermarkFile, error) {
+	osFile, err := os.OpenFile(filepath.Join(folder, watermarkName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	f := &floor{f: file, now: shownAt{identity: own}}
-	if err := f.read(own, log); err != nil {
-		_ = file.Close()
+	w := &watermarkFile{file: osFile, current: watermark{identity: owner}}
+	if err := w.load(owner, log); err != nil {
+		_ = osFile.Close()
 		return nil, err
 	}
-	return f, nil
+	return w, nil
 }
 
-func (f *floor) read(own identity, log *slog.Logger) error {
-	found, some := false, false
+func (w *watermarkFile) load(owner identity, log *slog.Logger) error {
+	found, hasData := false, false
 	for slot := range int64(2) {
 		raw := make([]byte, slotBytes)
-		n, err := f.f.ReadAt(raw, slot*slotBytes)
+		n, err := w.file.ReadAt(raw, slot*slotBytes)
 		if err != nil && err != io.EOF {
 			return err
 		}
-		some = some || n > 0
-		if at, ok := readSlot(raw[:n]); ok && (!found || at.Version >= f.now.Version) {
-			f.now, f.slot, found = at, slot, true
+		hasData = hasData || n > 0
+		if mark, ok := readSlot(raw[:n]); ok && (!found || mark.Version >= w.current.Version) {
+			w.current, w.activeSlot, found = mark, slot, true
 		}
 	}
 	if found {
-		return own.check(f.now.identity)
+		return owner.check(w.current.identity)
 	}
-	if some {
-		log.Error("cluster_disk", "file", f.f.Name(), "error", errDamaged)
+	if hasData {
+		log.Error("cluster_disk", "file", w.file.Name(), "error", errDamaged)
 	}
-	if err := errors.Join(f.raise(f.now), f.raise(f.now)); err != nil {
+	if err := errors.Join(w.advance(w.current), w.advance(w.current)); err != nil {
 		return err
 	}
-	folder, err := os.Open(filepath.Dir(f.f.Name()))
+	folder, err := os.Open(filepath.Dir(w.file.Name()))
 	if err != nil {
 		return err
 	}
@@ -88,37 +88,37 @@
 	return folder.Sync()
 }
 
-func readSlot(raw []byte) (at shownAt, ok bool) {
-	if len(raw) < slotHead {
-		return at, false
+func readSlot(raw []byte) (mark watermark, ok bool) {
+	if len(raw) < slotHeaderBytes {
+		return mark, false
 	}
-	n := int(binary.BigEndian.Uint16(raw[4:]))
-	if n == 0 || slotHead+n > len(raw) || checksum(nil, raw[4:slotHead+n]) != binary.BigEndian.Uint32(raw) {
-		return at, false
+	length := int(binary.BigEndian.Uint16(raw[4:]))
+	if length == 0 || slotHeaderBytes+length > len(raw) || checksum(nil, raw[4:slotHeaderBytes+length]) != binary.BigEndian.Uint32(raw) {
+		return mark, false
 	}
-	return at, json.Unmarshal(raw[slotHead:slotHead+n], &at) == nil
+	return mark, json.Unmarshal(raw[slotHeaderBytes:slotHeaderBytes+length], &mark) == nil
 }
 
 // raise writes how far the member is about to be. Once it returns, that outlives the machine.
-func (f *floor) raise(to shownAt) error {
-	text, err := json.Marshal(to)
+func (w *watermarkFile) advance(target watermark) error {
+	body, err := json.Marshal(target)
 	if err != nil {
 		return err
 	}
-	if slotHead+len(text) > slotBytes {
-		return fmt.Errorf("%s: names of %d bytes together are too long", f.f.Name(), len(text))
+	if slotHeaderBytes+len(body) > slotBytes {
+		return fmt.Errorf("%s: names of %d bytes together are too long", w.file.Name(), len(body))
 	}
 	raw := make([]byte, slotBytes)
-	binary.BigEndian.PutUint16(raw[4:], uint16(len(text)))
-	copy(raw[slotHead:], text)
-	binary.BigEndian.PutUint32(raw, checksum(nil, raw[4:slotHead+len(text)]))
-	next := 1 - f.slot
-	if _, err := f.f.WriteAt(raw, next*slotBytes); err != nil {
+	binary.BigEndian.PutUint16(raw[4:], uint16(len(body)))
+	copy(raw[slotHeaderBytes:], body)
+	binary.BigEndian.PutUint32(raw, checksum(nil, raw[4:slotHeaderBytes+len(body)]))
+	next := 1 - w.activeSlot
+	if _, err := w.file.WriteAt(raw, next*slotBytes); err != nil {
 		return err
 	}
-	if err := f.f.Sync(); err != nil {
+	if err := w.file.Sync(); err != nil {
 		return err
 	}
-	f.now, f.slot = to, next
+	w.current, w.activeSlot = target, next
 	return nil
 }
--- a/internal/cluster/observer/forward.go
+++ b/internal/cluster/observer/forward.go
@@ -13,47 +13,47 @@
 // Write hands a write to the first member that answers: the configured ones in their order, then the source that is followed. Where
 // one leaves it unknown the others are asked under the same id, which the record makes safe, for as long as ctx lasts.
 func (o *Observer) Write(ctx context.Context, w *record.Write) (record.Result, error) {
-	unknown := false
+	maybeApplied := false
 	for round := 0; ; round++ {
-		var last error
-		for _, s := range o.members() {
-			one, cancel := context.WithTimeout(ctx, o.t.Attempt)
-			result, err := o.client(s).Write(one, w)
+		var lastErr error
+		for _, s := range o.writeTargets() {
+			attemptCtx, cancel := context.WithTimeout(ctx, o.timings.AttemptTimeout)
+			result, err := o.client(s).Write(attemptCtx, w)
 			cancel()
 			if err == nil {
 				return result, nil
 			}
-			unknown = unknown || !errors.Is(err, api.ErrRefused)
-			if last = fmt.Errorf("%s: %w", s.Name, err); ctx.Err() != nil {
+			maybeApplied = maybeApplied || !errors.Is(err, api.ErrRefused)
+			if lastErr = fmt.Errorf("%s: %w", s.Name, err); ctx.Err() != nil {
 				break
 			}
 		}
-		if !unknown {
-			return record.Result{}, fmt.Errorf("%w: %v", api.ErrRefused, last)
+		if !maybeApplied {
+			return record.Result{}, fmt.Errorf("%w: %v", api.ErrRefused, lastErr)
 		}
 		if ctx.Err() == nil {
-			pause(ctx, backOff(o.t.BackOff, o.t.MostBack, round))
+			sleep(ctx, backoff(o.timings.InitialBackoff, o.timings.MaxBackoff, round))
 		}
 		if ctx.Err() != nil {
-			return record.Result{}, fmt.Errorf("%w: %v", api.ErrUnknown, last)
+			return record.Result{}, fmt.Errorf("%w: %v", api.ErrUnknown, lastErr)
 		}
 	}
 }
 
 // members are those that a write may be handed to.
-func (o *Observer) members() []Source {
-	list := append([]Source(nil), o.c.Sources...)
+func (o *Observer) writeTargets() []Source {
+	targets := append([]Source(nil), o.config.Sources...)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, s := range list {
-		if s.Name == o.from.Name {
-			return list
+	for _, s := range targets {
+		if s.Name == o.lastSource.Name {
+			return targets
 		}
 	}
-	if o.source != "" {
-		list = append(list, o.from)
+	if o.sourceName != "" {
+		targets = append(targets, o.lastSource)
 	}
-	return list
+	return targets
 }
 
 // readConsistent asks a voter how new a state has to be that holds all that was acknowledged before, and waits until its own is.
@@ -61,53 +61,53 @@
 	refused := func(err error) (record.View, time.Duration, error) {
 		return nil, 0, fmt.Errorf("%w: %v", api.ErrRefused, err)
 	}
-	asked, least, err := o.readIndex(ctx)
+	askedAt, minVersion, err := o.readIndex(ctx)
 	if err != nil {
 		return refused(err)
 	}
 	select {
 	case <-o.ready:
 	case <-ctx.Done():
-		return refused(fmt.Errorf("%w: version %d is waited for", api.ErrNothing, least))
+		return refused(fmt.Errorf("%w: version %d is waited for", api.ErrNothing, minVersion))
 	}
 	for {
 		changed := o.state.Changed()
-		if v := o.state.View(); v.Version() >= least {
+		if v := o.state.View(); v.Version() >= minVersion {
 			o.mu.Lock()
-			if asked.After(o.fresh) {
-				o.fresh = asked
+			if askedAt.After(o.freshAt) {
+				o.freshAt = askedAt
 			}
 			o.mu.Unlock()
-			return v, time.Since(asked), nil
+			return v, time.Since(askedAt), nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return refused(fmt.Errorf("this member is at version %d, the leader was at %d", o.state.View().Version(), least))
+			return refused(fmt.Errorf("this member is at version %d, the leader was at %d", o.state.View().Version(), minVersion))
 		}
 	}
 }
 
-func (o *Observer) readIndex(ctx context.Context) (asked time.Time, least record.Version, err error) {
-	for _, s := range o.c.Sources {
-		asked = time.Now()
-		one, cancel := context.WithTimeout(ctx, o.t.Attempt)
-		least, cluster, failed := o.client(s).ReadIndex(one)
+func (o *Observer) readIndex(ctx context.Context) (askedAt time.Time, minVersion record.Version, err error) {
+	for _, s := range o.config.Sources {
+		askedAt = time.Now()
+		attemptCtx, cancel := context.WithTimeout(ctx, o.timings.AttemptTimeout)
+		minVersion, cluster, attemptErr := o.client(s).ReadIndex(attemptCtx)
 		cancel()
 		o.mu.Lock()
-		own := o.cluster
+		ownCluster := o.clusterID
 		o.mu.Unlock()
 		switch {
-		case failed != nil:
-			err = fmt.Errorf("%s: %w", s.Name, failed)
-		case cluster != "" && own != "" && cluster != own:
-			err = fmt.Errorf("%s: it is of the cluster %q, this observer's is %q", s.Name, cluster, own)
+		case attemptErr != nil:
+			err = fmt.Errorf("%s: %w", s.Name, attemptErr)
+		case cluster != "" && ownCluster != "" && cluster != ownCluster:
+			err = fmt.Errorf("%s: it is of the cluster %q, this observer's is %q", s.Name, cluster, ownCluster)
 		default:
-			return asked, least, nil
+			return askedAt, minVersion, nil
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return asked, 0, err
+	return askedAt, 0, err
 }
--- a/internal/cluster/observer/observer_test.go
+++ b/internal/cluster/observer/observer_test.go
@@ -26,33 +26,33 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-const nowhere = "127.0.0.1:1" // nobody listens there
+const unreachableAddr = "127.0.0.1:1" // nobody listens there
 
 // lines is a log that can be searched while it is written.
-type lines struct {
+type logBuffer struct {
 	mu  sync.Mutex
 	all bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(p)
 }
 
-func (l *lines) count(event string) int {
+func (l *logBuffer) count(event string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.all.String(), "msg="+event+" ")
 }
 
-func start(t testing.TB, c Config) *Observer {
+func openObserver(t testing.TB, c Config) *Observer {
 	t.Helper()
 	if c.Cluster, c.Domains = "test", []record.Domain{record.Orders()}; c.Name == "" {
 		c.Name = "o"
 	}
 	if c.Timings == (Timings{}) {
-		c.Timings = Timings{Wait: 500 * time.Millisecond, Silence: 500 * time.Millisecond, BackOff: 2 * time.Millisecond, MostBack: 50 * time.Millisecond}
+		c.Timings = Timings{Wait: 500 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, InitialBackoff: 2 * time.Millisecond, MaxBackoff: 50 * time.Millisecond}
 	}
 	o, err := Open(t.Context(), c)
 	if err != nil {
@@ -63,43 +63,43 @@
 }
 
 // until waits for something that comes by itself.
-func until(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("it did not come: %s", what)
 		}
 	}
 }
 
-func reaches(t testing.TB, o *Observer, v record.Version) {
+func waitForVersion(t testing.TB, o *Observer, v record.Version) {
 	t.Helper()
-	until(t, o.c.Name+" at version "+strconv.Itoa(int(v)), func() bool { return o.Replica() != nil && o.state.View().Version() >= v })
+	waitFor(t, o.config.Name+" at version "+strconv.Itoa(int(v)), func() bool { return o.Replica() != nil && o.state.View().Version() >= v })
 }
 
 // fleet starts observers that can be followed, each with so many places.
-func fleet(t *testing.T, n, places int, sources ...Source) []*Observer {
+func startObservers(t *testing.T, n, capacity int, sources ...Source) []*Observer {
 	t.Helper()
 	var all []*Observer
 	for i := range n {
-		all = append(all, join(t, "o"+strconv.Itoa(i), places, sources...))
+		all = append(all, startFollowable(t, "o"+strconv.Itoa(i), capacity, sources...))
 	}
 	return all
 }
 
 // join starts one of them.
-func join(t *testing.T, name string, places int, sources ...Source) *Observer {
+func startFollowable(t *testing.T, name string, capacity int, sources ...Source) *Observer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := start(t, Config{Name: name, Addr: l.Addr().String(), Sources: sources})
-	apitest.ServeOn(t, l, api.Handler(o, api.Options{Followers: places}))
+	o := openObserver(t, Config{Name: name, Addr: l.Addr().String(), Sources: sources})
+	apitest.ServeOn(t, l, api.Handler(o, api.Options{Followers: capacity}))
 	return o
 }
 
-func TestTreeGrowsByItself(t *testing.T) {
+func TestObserversFormTree(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		n, places, deeper int
@@ -108,23 +108,23 @@
 			v := apitest.NewVoter("a", 0)
 			v.Add(t, 3)
 			addr, _ := apitest.Serve(t, v.Handler(api.Options{Followers: c.places}))
-			all := fleet(t, c.n, c.places, Source{Name: "a", Addr: addr})
+			all := startObservers(t, c.n, c.places, Source{Name: "a", Addr: addr})
 			for _, o := range all {
-				reaches(t, o, 3)
+				waitForVersion(t, o, 3)
 			}
 			last := v.Add(t, 5)
 			children, deepest := map[string]int{}, 0
 			for _, o := range all {
-				reaches(t, o, last)
+				waitForVersion(t, o, last)
 				if o.state.View().Hash() != v.State.View().Hash() {
-					t.Errorf("%s has another state", o.c.Name)
+					t.Errorf("%s has another state", o.config.Name)
 				}
-				until(t, o.c.Name+" follows", func() bool { return o.Status().State == "following" })
+				waitFor(t, o.config.Name+" follows", func() bool { return o.Status().State == "following" })
 				path := o.Status().Path
 				children[path[len(path)-2]]++
 				deepest = max(deepest, len(path)-1)
-				if sorted := slices.Sorted(slices.Values(path)); path[0] != "a" || path[len(path)-1] != o.c.Name || len(slices.Compact(sorted)) != len(path) {
-					t.Errorf("%s: path %v", o.c.Name, path)
+				if sorted := slices.Sorted(slices.Values(path)); path[0] != "a" || path[len(path)-1] != o.config.Name || len(slices.Compact(sorted)) != len(path) {
+					t.Errorf("%s: path %v", o.config.Name, path)
 				}
 			}
 			for name, n := range children {
@@ -139,12 +139,12 @@
 	}
 }
 
-func TestAnotherSourceIsFound(t *testing.T) {
+func TestFailoverToAnotherSource(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "stale"} {
 		t.Run(how, func(t *testing.T) {
 			a := apitest.NewVoter("a", 0)
 			b := &apitest.Voter{Name: "b", Cluster: a.Cluster, State: a.State}
-			a.Leads.Store(false)
+			a.IsLeader.Store(false)
 			voters := map[string]*apitest.Voter{"a": a, "b": b}
 			stops := map[string]func(){}
 			var silent atomic.Value
@@ -161,9 +161,9 @@
 				}))
 				sources, stops[name] = append(sources, Source{Name: name, Addr: addr}), stop
 			}
-			o := start(t, Config{Sources: sources})
-			reaches(t, o, 0)
-			until(t, "following", func() bool { return o.Status().State == "following" })
+			o := openObserver(t, Config{Sources: sources})
+			waitForVersion(t, o, 0)
+			waitFor(t, "following", func() bool { return o.Status().State == "following" })
 			source := o.Status().Path[0]
 			switch how {
 			case "killed":
@@ -173,61 +173,61 @@
 			case "stale":
 				voters[source].Age.Store(int64(time.Hour))
 			}
-			until(t, "another source", func() bool {
+			waitFor(t, "another source", func() bool {
 				st := o.Status()
 				return st.Path[0] != source && st.State == "following"
 			})
-			reaches(t, o, a.Add(t, 2))
+			waitForVersion(t, o, a.Add(t, 2))
 		})
 	}
 }
 
-func TestCutOffSourcesStillFeed(t *testing.T) {
+func TestFollowsCutOffSourceWhenNoOtherExists(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
 	v.Age.Store(int64(time.Hour))
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	o := start(t, Config{Sources: []Source{{Name: "a", Addr: addr}}})
-	reaches(t, o, v.Add(t, 2))
-	reaches(t, o, v.Add(t, 2))
-	until(t, "cut off", func() bool { return o.Status().State == "cut_off" })
+	o := openObserver(t, Config{Sources: []Source{{Name: "a", Addr: addr}}})
+	waitForVersion(t, o, v.Add(t, 2))
+	waitForVersion(t, o, v.Add(t, 2))
+	waitFor(t, "cut off", func() bool { return o.Status().State == "cut_off" })
 	if st := o.Status(); st.AgeMs < time.Hour.Milliseconds() {
 		t.Errorf("age %d ms", st.AgeMs)
 	}
 	v.Age.Store(0)
-	until(t, "following", func() bool { return o.Status().State == "following" })
+	waitFor(t, "following", func() bool { return o.Status().State == "following" })
 	if st := o.Status(); st.AgeMs > 10_000 {
 		t.Errorf("age %d ms", st.AgeMs)
 	}
 }
 
-func TestLeaderIsFollowedLast(t *testing.T) {
+func TestLeaderIsLastResortSource(t *testing.T) {
 	a := apitest.NewVoter("a", 0)
 	b := &apitest.Voter{Name: "b", Cluster: a.Cluster, State: a.State}
 	addrA, _ := apitest.Serve(t, a.Handler(api.Options{}))
 	addrB, stopB := apitest.Serve(t, b.Handler(api.Options{Followers: 3}))
 	sources := []Source{{Name: "a", Addr: addrA}, {Name: "b", Addr: addrB}}
-	first := start(t, Config{Sources: sources, Timings: Timings{Wait: 100 * time.Millisecond, Silence: 500 * time.Millisecond, Aside: time.Millisecond}})
-	reaches(t, first, 0) // it has one of the follower's three places: else whom it follows decides when it is left
-	for i := range 6 {   // one after another: TestLeaderIsLeftForWhoWasNotReady has what else may happen
-		o := join(t, "o"+strconv.Itoa(i), 3, sources...)
-		reaches(t, o, 0)
+	first := openObserver(t, Config{Sources: sources, Timings: Timings{Wait: 100 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, LeaderRecheck: time.Millisecond}})
+	waitForVersion(t, first, 0) // it has one of the follower's three places: else whom it follows decides when it is left
+	for i := range 6 {          // one after another: TestLeaderIsLeftForWhoWasNotReady has what else may happen
+		o := startFollowable(t, "o"+strconv.Itoa(i), 3, sources...)
+		waitForVersion(t, o, 0)
 		if path := o.Status().Path; path[0] != "b" {
-			t.Errorf("%s has the path %v past the leader's follower", o.c.Name, path)
+			t.Errorf("%s has the path %v past the leader's follower", o.config.Name, path)
 		}
 	}
 	stopB()
-	until(t, "the leader is followed", func() bool { return first.Status().Path[0] == "a" })
+	waitFor(t, "the leader is followed", func() bool { return first.Status().Path[0] == "a" })
 	l, err := net.Listen("tcp", addrB)
 	if err != nil {
 		t.Fatal(err)
 	}
 	apitest.ServeOn(t, l, b.Handler(api.Options{}))
-	until(t, "the leader is left again", func() bool { return first.Status().Path[0] == "b" })
+	waitFor(t, "the leader is left again", func() bool { return first.Status().Path[0] == "b" })
 }
 
 // TestLeaderIsLeftForWhoWasNotReady has an observer ask while its only other source is full and the follower that this one names
 // answers nothing yet, as at a fleet's start: it follows the leader, and leaves it once that follower answers.
-func TestLeaderIsLeftForWhoWasNotReady(t *testing.T) {
+func TestLeavesLeaderOnceFollowerIsReady(t *testing.T) {
 	a := apitest.NewVoter("a", 0)
 	b := &apitest.Voter{Name: "b", Cluster: a.Cluster, State: a.State}
 	addrA, _ := apitest.Serve(t, a.Handler(api.Options{}))
@@ -236,7 +236,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	follower := start(t, Config{Name: "follower", Addr: l.Addr().String(), Sources: []Source{{Name: "b", Addr: addrB}}})
+	follower := openObserver(t, Config{Name: "follower", Addr: l.Addr().String(), Sources: []Source{{Name: "b", Addr: addrB}}})
 	handler := api.Handler(follower, api.Options{})
 	var ready atomic.Bool
 	apitest.ServeOn(t, l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -246,18 +246,18 @@
 		}
 		handler.ServeHTTP(w, r)
 	}))
-	reaches(t, follower, 0)
-	o := start(t, Config{Sources: []Source{{Name: "a", Addr: addrA}, {Name: "b", Addr: addrB}},
-		Timings: Timings{Wait: 20 * time.Millisecond, Silence: 500 * time.Millisecond, Aside: time.Millisecond}})
-	reaches(t, o, 0)
+	waitForVersion(t, follower, 0)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a", Addr: addrA}, {Name: "b", Addr: addrB}},
+		Timings: Timings{Wait: 20 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, LeaderRecheck: time.Millisecond}})
+	waitForVersion(t, o, 0)
 	if path := o.Status().Path; !slices.Equal(path, []string{"a", "o"}) {
 		t.Fatalf("the path is %v, past the leader is expected", path)
 	}
 	ready.Store(true)
-	until(t, "the leader is left", func() bool { return slices.Equal(o.Status().Path, []string{"b", "follower", "o"}) })
+	waitFor(t, "the leader is left", func() bool { return slices.Equal(o.Status().Path, []string{"b", "follower", "o"}) })
 }
 
-func TestCutOffShowsWhatItHasWithItsAge(t *testing.T) {
+func TestCutOffObserverServesStateWithAge(t *testing.T) {
 	v := apitest.NewVoter("a", 0)
 	v.Add(t, 3)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -265,14 +265,14 @@
 		t.Fatal(err)
 	}
 	stop := apitest.ServeOn(t, l, v.Handler(api.Options{}))
-	var log lines
+	var log logBuffer
 	m := api.NewMetrics()
-	o := start(t, Config{Sources: []Source{{Name: "a", Addr: l.Addr().String()}}, Metrics: m, Log: slog.New(slog.NewTextHandler(&log, nil))})
-	reaches(t, o, 3)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a", Addr: l.Addr().String()}}, Metrics: m, Log: slog.New(slog.NewTextHandler(&log, nil))})
+	waitForVersion(t, o, 3)
 	stop()
 	stopped := time.Now()
-	until(t, "cut off", func() bool { return o.Status().State == "cut_off" })
-	until(t, "the log line", func() bool { return log.count("cluster_cut_off") == 1 })
+	waitFor(t, "cut off", func() bool { return o.Status().State == "cut_off" })
+	waitFor(t, "the log line", func() bool { return log.count("cluster_cut_off") == 1 })
 	view, age, err := o.Read(t.Context(), false)
 	if err != nil || view.Version() != 3 || age < time.Since(stopped)/2 {
 		t.Errorf("cut off it shows %v, age %v", err, age)
@@ -285,28 +285,28 @@
 		t.Fatal(err)
 	}
 	apitest.ServeOn(t, l, v.Handler(api.Options{}))
-	reaches(t, o, last)
-	until(t, "following", func() bool { return o.Status().State == "following" })
-	until(t, "the second line of following", func() bool { return log.count("cluster_following") == 2 })
+	waitForVersion(t, o, last)
+	waitFor(t, "following", func() bool { return o.Status().State == "following" })
+	waitFor(t, "the second line of following", func() bool { return log.count("cluster_following") == 2 })
 	if _, age, _ := o.Read(t.Context(), false); age > time.Since(stopped) {
 		t.Errorf("age %v after it was found again", age)
 	}
 }
 
-func TestWritesAndConsistentReadsGoToVoters(t *testing.T) {
+func TestForwardsWritesAndConsistentReads(t *testing.T) {
 	a := apitest.NewVoter("a", 0)
 	b := &apitest.Voter{Name: "b", Cluster: a.Cluster, State: a.State}
 	addrA, stopA := apitest.Serve(t, a.Handler(api.Options{}))
 	addrB, _ := apitest.Serve(t, b.Handler(api.Options{}))
-	o := start(t, Config{Sources: []Source{{Name: "gone", Addr: nowhere}, {Name: "a", Addr: addrA}, {Name: "b", Addr: addrB}}})
-	reaches(t, o, 0)
+	o := openObserver(t, Config{Sources: []Source{{Name: "gone", Addr: unreachableAddr}, {Name: "a", Addr: addrA}, {Name: "b", Addr: addrB}}})
+	waitForVersion(t, o, 0)
 	a.Fails = func(*record.Write) (bool, error) { return true, api.ErrUnknown }
-	r, err := o.Write(t.Context(), apitest.Order("x1", "w1", 0))
+	r, err := o.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0))
 	if err != nil || r.Outcome != record.Applied || r.Version != 1 || !r.Again {
 		t.Errorf("taken at one, unknown there, asked again at the next: %+v, %v", r, err)
 	}
 	a.Fails = func(*record.Write) (bool, error) { return false, api.ErrRefused }
-	if r, err = o.Write(t.Context(), apitest.Order("x2", "w2", 1)); err != nil || r.Again || r.Outcome != record.Applied {
+	if r, err = o.Write(t.Context(), apitest.DisableOrder("x2", "w2", 1)); err != nil || r.Again || r.Outcome != record.Applied {
 		t.Errorf("refused at one, taken at the next: %+v, %v", r, err)
 	}
 	last := a.Add(t, 3)
@@ -314,7 +314,7 @@
 		t.Errorf("a consistent read: %v", err)
 	}
 	b.Fails = a.Fails
-	if _, err = o.Write(t.Context(), apitest.Order("x3", "w3", last)); !errors.Is(err, api.ErrRefused) {
+	if _, err = o.Write(t.Context(), apitest.DisableOrder("x3", "w3", last)); !errors.Is(err, api.ErrRefused) {
 		t.Errorf("refused by all: %v", err)
 	}
 	if o.state.View().Version() != last {
@@ -322,9 +322,9 @@
 	}
 	stopA()
 	b.Fails = func(*record.Write) (bool, error) { return false, api.ErrUnknown }
-	ctx, cancel := contextFor(t, 200*time.Millisecond)
+	ctx, cancel := contextWithTimeout(t, 200*time.Millisecond)
 	defer cancel()
-	if _, err = o.Write(ctx, apitest.Order("x4", "w4", last)); !errors.Is(err, api.ErrUnknown) {
+	if _, err = o.Write(ctx, apitest.DisableOrder("x4", "w4", last)); !errors.Is(err, api.ErrUnknown) {
 		t.Errorf("unknown for as long as it was asked: %v", err)
 	}
 }
--- a/internal/cluster/observer/refuse_test.go
+++ b/internal/cluster/observer/refuse_test.go
@@ -17,12 +17,12 @@
 	"burlpass/internal/record"
 )
 
-func contextFor(t *testing.T, d time.Duration) (context.Context, context.CancelFunc) {
+func contextWithTimeout(t *testing.T, d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(t.Context(), d)
 }
 
 // mangled serves what another handler answers to /v1/entries after it has been changed, and counts that.
-func mangled(h http.Handler, change func([]byte) []byte, served *atomic.Int64) http.Handler {
+func mangleEntries(h http.Handler, change func([]byte) []byte, served *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		h.ServeHTTP(rec, r)
@@ -38,22 +38,22 @@
 }
 
 // stateOf is an answer with the whole state of a voter, whose head claims a version.
-func stateOf(t *testing.T, v *apitest.Voter, claims record.Version) []byte {
+func fullStateOf(t *testing.T, v *apitest.Voter, claimedVersion record.Version) []byte {
 	t.Helper()
 	var saved bytes.Buffer
 	view := v.State.View()
 	if err := record.Save(&saved, view); err != nil {
 		t.Fatal(err)
 	}
-	return (&api.Batch{Saved: saved.Bytes(), Head: api.Head{Format: api.Format, Cluster: apitest.Cluster, Kind: api.KindState, Since: 5,
-		Version: claims, Hash: view.Hash(), Path: []string{"a"}, Count: bytes.Count(saved.Bytes(), []byte("\n"))}}).Append(nil)
+	return (&api.Batch{SavedState: saved.Bytes(), Header: api.Header{Format: api.Format, Cluster: apitest.Cluster, Kind: api.KindState, Since: 5,
+		Version: claimedVersion, Hash: view.Hash(), Path: []string{"a"}, Count: bytes.Count(saved.Bytes(), []byte("\n"))}}).Append(nil)
 }
 
-func replaced(old, by string) func([]byte) []byte {
+func replaceAll(old, by string) func([]byte) []byte {
 	return func(raw []byte) []byte { return bytes.ReplaceAll(raw, []byte(old), []byte(by)) }
 }
 
-func TestWrongAnswersAreNotTaken(t *testing.T) {
+func TestInvalidResponsesAreRejected(t *testing.T) {
 	older := apitest.NewVoter("a", 0)
 	older.Add(t, 4)
 	for _, c := range []struct {
@@ -63,35 +63,35 @@
 	}{
 		{"cut in the middle", func(raw []byte) []byte { return raw[:len(raw)/2] }, false},
 		{"without its last line", func(raw []byte) []byte { return raw[:bytes.LastIndexByte(raw[:len(raw)-1], '\n')+1] }, false},
-		{"a newer format", replaced(`"format":1`, `"format":2`), true},
-		{"a hash of its own", replaced(`"hash":"`, `"hash":"0`), true},
-		{"another worker in an entry", replaced("worker/w6", "worker/w7"), true},
-		{"entries and states of a newer format", replaced(`{"f":1,`, `{"f":2,`), true},
-		{"another cluster", replaced(apitest.Cluster, "c-other"), true},
-		{"a circle", replaced(`"path":["a"`, `"path":["a","o"`), false},
-		{"an older state", func([]byte) []byte { return stateOf(t, older, 4) }, true},
-		{"an older state with a newer head", func([]byte) []byte { return stateOf(t, older, 9) }, true},
+		{"a newer format", replaceAll(`"format":1`, `"format":2`), true},
+		{"a hash of its own", replaceAll(`"hash":"`, `"hash":"0`), true},
+		{"another worker in an entry", replaceAll("worker/w6", "worker/w7"), true},
+		{"entries and states of a newer format", replaceAll(`{"f":1,`, `{"f":2,`), true},
+		{"another cluster", replaceAll(apitest.Cluster, "c-other"), true},
+		{"a circle", replaceAll(`"path":["a"`, `"path":["a","o"`), false},
+		{"an older state", func([]byte) []byte { return fullStateOf(t, older, 4) }, true},
+		{"an older state with a newer head", func([]byte) []byte { return fullStateOf(t, older, 9) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := apitest.NewVoter("a", 0)
 			v.Add(t, 5)
 			good, stop := apitest.Serve(t, v.Handler(api.Options{}))
 			var served atomic.Int64
-			bad, _ := apitest.Serve(t, mangled(v.Handler(api.Options{}), c.change, &served))
+			bad, _ := apitest.Serve(t, mangleEntries(v.Handler(api.Options{}), c.change, &served))
 			var at atomic.Value
 			at.Store(good)
-			var log lines
-			o := start(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return at.Load().(string) },
+			var log logBuffer
+			o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return at.Load().(string) },
 				Log: slog.New(slog.NewTextHandler(&log, nil))})
-			reaches(t, o, 5)
+			waitForVersion(t, o, 5)
 			before := o.state.View()
 			// All is written while no source can be reached: an answer between two writes would lack what a case changes, and so
 			// be right.
-			at.Store(nowhere)
+			at.Store(unreachableAddr)
 			stop()
 			last := v.Add(t, 3)
 			at.Store(bad)
-			until(t, "wrong answers", func() bool { return served.Load() >= 4 })
+			waitFor(t, "wrong answers", func() bool { return served.Load() >= 4 })
 			if now := o.state.View(); now.Version() != 5 || now.Hash() != before.Hash() {
 				t.Errorf("it shows version %d, hash %s", now.Version(), now.Hash())
 			}
@@ -100,7 +100,7 @@
 			}
 			good, _ = apitest.Serve(t, v.Handler(api.Options{}))
 			at.Store(good)
-			reaches(t, o, last)
+			waitForVersion(t, o, last)
 			if o.state.View().Hash() != v.State.View().Hash() {
 				t.Error("it has another state than the voter in the end")
 			}
@@ -109,22 +109,22 @@
 }
 
 // An observer whose own state is wrong finds that out by the hash of its source, and takes a whole one.
-func TestOwnStateThatIsWrongIsReplaced(t *testing.T) {
+func TestDivergentStateIsReplaced(t *testing.T) {
 	v, other := apitest.NewVoter("a", 0), apitest.NewVoter("a", 0)
 	v.Add(t, 5)
 	other.Add(t, 4)
-	if _, err := other.Write(t.Context(), apitest.Order("w4", "another", 4)); err != nil {
+	if _, err := other.Write(t.Context(), apitest.DisableOrder("w4", "another", 4)); err != nil {
 		t.Fatal(err)
 	}
 	wrong, stop := apitest.Serve(t, other.Handler(api.Options{}))
 	right, _ := apitest.Serve(t, v.Handler(api.Options{}))
 	var at atomic.Value
 	at.Store(wrong)
-	o := start(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return at.Load().(string) }})
-	reaches(t, o, 5)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return at.Load().(string) }})
+	waitForVersion(t, o, 5)
 	at.Store(right)
 	stop()
-	until(t, "the right state", func() bool { return o.state.View().Hash() == v.State.View().Hash() })
+	waitFor(t, "the right state", func() bool { return o.state.View().Hash() == v.State.View().Hash() })
 	if strings.Contains(o.Status().Fault, "hash") {
 		t.Error("a fault stays")
 	}
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -25,7 +25,7 @@
 	bytes   int
 	changed chan struct{} // closed at the next change; nil where nobody waits
 
-	mostEntries, mostBytes int
+	maxEntries, maxBytes int
 }
 
 // New returns a Replica of a machine, which nobody else may use from then on. It keeps at most that many entries and bytes
@@ -37,7 +37,7 @@
 	if bytes <= 0 {
 		bytes = DefaultBytes
 	}
-	return &Replica{machine: m, mostEntries: entries, mostBytes: bytes}
+	return &Replica{machine: m, maxEntries: entries, maxBytes: bytes}
 }
 
 // Apply takes the next entry, as record.Encode made it. On an error nothing has changed: the entry is not one, or of a
@@ -59,37 +59,37 @@
 	results := make([]record.Result, 0, len(entries))
 	for i, e := range entries {
 		results = append(results, r.machine.ApplyPrepared(e))
-		r.keep(raw[i])
+		r.retain(raw[i])
 	}
 	if len(entries) > 0 {
-		r.advance()
+		r.publish()
 	}
 	return results, err
 }
 
 // share is how many entries are prepared by one goroutine at least.
-const share = 16
+const minEntriesPerGoroutine = 16
 
 // prepareAll decodes entries up to the first that is none, whose error it gives. That takes longer than applying them and
 // does not depend on what is before; so many entries, as at a start, are spread over the cores.
 func (r *Replica) prepareAll(raw [][]byte) ([]record.Prepared, error) {
-	entries, faults := make([]record.Prepared, len(raw)), make([]error, len(raw))
-	step := max(share, (len(raw)+runtime.GOMAXPROCS(0)-1)/runtime.GOMAXPROCS(0))
-	prepare := func(from int) {
-		for i := from; i < min(from+step, len(raw)); i++ {
+	entries, errs := make([]record.Prepared, len(raw)), make([]error, len(raw))
+	chunk := max(minEntriesPerGoroutine, (len(raw)+runtime.GOMAXPROCS(0)-1)/runtime.GOMAXPROCS(0))
+	prepare := func(start int) {
+		for i := start; i < min(start+chunk, len(raw)); i++ {
 			e, err := record.Decode(raw[i])
-			if entries[i], faults[i] = r.machine.Prepare(e), err; err != nil {
+			if entries[i], errs[i] = r.machine.Prepare(e), err; err != nil {
 				return
 			}
 		}
 	}
-	var done sync.WaitGroup
-	for from := step; from < len(raw); from += step {
-		done.Go(func() { prepare(from) })
+	var wg sync.WaitGroup
+	for start := chunk; start < len(raw); start += chunk {
+		wg.Go(func() { prepare(start) })
 	}
 	prepare(0)
-	done.Wait()
-	for i, err := range faults {
+	wg.Wait()
+	for i, err := range errs {
 		if err != nil {
 			return entries[:i], err
 		}
@@ -98,10 +98,10 @@
 }
 
 // keep remembers an entry for followers, and forgets the oldest where that makes too much. It is called under the lock.
-func (r *Replica) keep(raw []byte) {
+func (r *Replica) retain(raw []byte) {
 	r.entries, r.bytes = append(r.entries, raw), r.bytes+len(raw)
 	drop := 0
-	for len(r.entries)-drop > r.mostEntries || r.bytes > r.mostBytes && len(r.entries)-drop > 1 {
+	for len(r.entries)-drop > r.maxEntries || r.bytes > r.maxBytes && len(r.entries)-drop > 1 {
 		r.bytes -= len(r.entries[drop])
 		r.entries[drop] = nil
 		drop++
@@ -111,19 +111,19 @@
 
 // Restore replaces the state by a whole one, as record.Save wrote it. On an error nothing has changed. It does not look at
 // which is newer: a voter's consensus may restore an older one before it goes on, and shows nothing until then.
-func (r *Replica) Restore(from io.Reader) error {
+func (r *Replica) Restore(src io.Reader) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.machine.Restore(from); err != nil {
+	if err := r.machine.Restore(src); err != nil {
 		return err
 	}
 	r.entries, r.bytes = nil, 0
-	r.advance()
+	r.publish()
 	return nil
 }
 
 // advance publishes the machine's state. It is called under the lock.
-func (r *Replica) advance() {
+func (r *Replica) publish() {
 	r.view = nil
 	if r.changed != nil {
 		close(r.changed)
@@ -133,7 +133,7 @@
 
 // show makes the view where it is not there yet: after one the machine copies what it changes, so that entries that nobody
 // looks at between cost no copies. It is called under the lock.
-func (r *Replica) show() record.View {
+func (r *Replica) currentView() record.View {
 	if r.view == nil {
 		r.view = r.machine.View()
 	}
@@ -144,7 +144,7 @@
 func (r *Replica) View() record.View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.show()
+	return r.currentView()
 }
 
 // Version is the one of View, without making that.
@@ -172,7 +172,7 @@
 func (r *Replica) Since(v record.Version) ([][]byte, record.View, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	view := r.show()
+	view := r.currentView()
 	now := view.Version()
 	if v > now || int(now-v) > len(r.entries) {
 		return nil, view, false
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -11,7 +11,7 @@
 	"burlpass/internal/record"
 )
 
-func entries(t *rapid.T, n int) [][]byte {
+func drawEntries(t *rapid.T, n int) [][]byte {
 	var out [][]byte
 	for i := range n {
 		e := &record.Entry{Clock: &record.Clock{Voters: 1, Readings: []record.Reading{{Voter: "a", Ms: int64(i)}}}}
@@ -32,7 +32,7 @@
 	return out
 }
 
-func saved(t *rapid.T, v record.View) string {
+func savedBytes(t *rapid.T, v record.View) string {
 	var b bytes.Buffer
 	if err := record.Save(&b, v); err != nil {
 		t.Fatal(err)
@@ -42,16 +42,16 @@
 
 // The same entries in batches of any size, looked at between or not, give the same results and bytes; and what was looked at
 // stays as it was.
-func TestBatches(t *testing.T) {
+func TestBatchSizeDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := record.Bounds{Items: 6, Results: 20}
-		one, many := New(record.New(bounds, record.Orders()), 0, 0), New(record.New(bounds, record.Orders()), 0, 0)
-		raw := entries(t, rapid.IntRange(1, 150).Draw(t, "entries"))
-		views, were := []record.View{}, []string{}
+		single, batched := New(record.New(bounds, record.Orders()), 0, 0), New(record.New(bounds, record.Orders()), 0, 0)
+		raw := drawEntries(t, rapid.IntRange(1, 150).Draw(t, "entries"))
+		views, expected := []record.View{}, []string{}
 		for len(raw) > 0 {
 			n := rapid.IntRange(1, len(raw)).Draw(t, "batch")
-			changed := many.Changed()
-			results, err := many.ApplyAll(raw[:n])
+			changed := batched.Changed()
+			results, err := batched.ApplyAll(raw[:n])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,24 +61,24 @@
 				t.Fatal("nobody is woken")
 			}
 			for i := range n {
-				want, err := one.Apply(raw[i])
+				want, err := single.Apply(raw[i])
 				if d := cmp.Diff(want, results[i]); d != "" || err != nil {
 					t.Fatal(d, err)
 				}
-				one.View()
+				single.View()
 			}
 			if raw = raw[n:]; rapid.Bool().Draw(t, "looks") {
-				views, were = append(views, many.View()), append(were, saved(t, many.View()))
-				if d := cmp.Diff(saved(t, one.View()), were[len(were)-1]); d != "" {
+				views, expected = append(views, batched.View()), append(expected, savedBytes(t, batched.View()))
+				if d := cmp.Diff(savedBytes(t, single.View()), expected[len(expected)-1]); d != "" {
 					t.Fatal(d)
 				}
 			}
 		}
-		if one.Version() != many.Version() || saved(t, one.View()) != saved(t, many.View()) {
+		if single.Version() != batched.Version() || savedBytes(t, single.View()) != savedBytes(t, batched.View()) {
 			t.Fatal("the states differ")
 		}
 		for i, v := range views {
-			if saved(t, v) != were[i] {
+			if savedBytes(t, v) != expected[i] {
 				t.Fatalf("view %d has changed", i)
 			}
 		}
@@ -86,9 +86,9 @@
 }
 
 // Entries before one that is none are taken, and none after it.
-func TestBatchWithFault(t *testing.T) {
+func TestBatchWithInvalidEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		raw := entries(t, rapid.IntRange(1, 80).Draw(t, "entries"))
+		raw := drawEntries(t, rapid.IntRange(1, 80).Draw(t, "entries"))
 		at := rapid.IntRange(0, len(raw)-1).Draw(t, "fault")
 		raw[at] = []byte(`{"f":99,"write":{}}`)
 		r := New(record.New(record.Bounds{}, record.Orders()), 0, 0)
--- a/internal/cluster/replica/stage.go
+++ b/internal/cluster/replica/stage.go
@@ -9,7 +9,7 @@
 )
 
 // ErrOther is a state that is not the one it was said to be.
-var ErrOther = errors.New("not the state that was told")
+var ErrStateMismatch = errors.New("not the state that was told")
 
 // Stage applies entries that are said to lead to a version with a hash, and shows nothing of them yet: neither View nor Since
 // knows them before commit, so that they can be stored first. On an error nothing has changed. Between Stage and
@@ -22,27 +22,27 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.show() // before the machine goes on
+	r.currentView() // before the machine goes on
 	for _, e := range entries {
 		r.machine.ApplyPrepared(e)
 	}
 	after := r.machine.View()
 	if after.Version() != version || after.Hash() != hash {
-		err := fmt.Errorf("%w: version %d, hash %s where version %d, hash %s was said", ErrOther, after.Version(), after.Hash(), version, hash)
-		return nil, errors.Join(err, r.takeBack())
+		err := fmt.Errorf("%w: version %d, hash %s where version %d, hash %s was said", ErrStateMismatch, after.Version(), after.Hash(), version, hash)
+		return nil, errors.Join(err, r.rollback())
 	}
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, line := range raw {
-			r.keep(line)
+			r.retain(line)
 		}
-		r.advance()
+		r.publish()
 	}, nil
 }
 
 // takeBack puts the machine back to what is shown, which costs as much as the state is large. It is called under the lock.
-func (r *Replica) takeBack() error {
+func (r *Replica) rollback() error {
 	var state bytes.Buffer
 	if err := record.Save(&state, r.view); err != nil {
 		return err
--- a/internal/clustertest/run/build.go
+++ b/internal/clustertest/run/build.go
@@ -19,7 +19,7 @@
 		{File: "internal/cluster/voter/config.go", Old: "DefaultThreshold = 8192", New: "DefaultThreshold = 40"},
 		{File: "internal/cluster/voter/config.go", Old: "DefaultTrailing  = 8192", New: "DefaultTrailing  = 20"},
 		{File: "internal/cluster/replica/replica.go", Old: "DefaultEntries = 8192", New: "DefaultEntries = 30"},
-		{File: "internal/cluster/api/server.go", Old: "DefaultFollowers = 32", New: "DefaultFollowers = 3"},
+		{File: "internal/cluster/api/server.go", Old: "DefaultFollowers         = 32", New: "DefaultFollowers         = 3"},
 	}}
 }
 
--- a/internal/clustertest/run/faulty.go
+++ b/internal/clustertest/run/faulty.go
@@ -51,8 +51,8 @@
 	return n
 }
 `},
-		{File: disk, Old: "b.Version, b.Hash, fresh.UnixMilli()}", New: "b.Version, b.Hash, fresh.UnixMilli() + beside(d.folder, \"clock\")}"},
-		{File: disk, Old: "v.Version(), v.Hash(), fresh.UnixMilli()}", New: "v.Version(), v.Hash(), fresh.UnixMilli() + beside(d.folder, \"clock\")}"},
-		{File: observer, Old: "time.Since(kept.fresh)", New: "time.Since(kept.fresh)+time.Duration(beside(o.c.Folder, \"clock\"))*time.Millisecond"},
+		{File: disk, Old: "b.Version, b.Hash, freshAt.UnixMilli()}", New: "b.Version, b.Hash, freshAt.UnixMilli() + beside(d.folder, \"clock\")}"},
+		{File: disk, Old: "v.Version(), v.Hash(), freshAt.UnixMilli()}", New: "v.Version(), v.Hash(), freshAt.UnixMilli() + beside(d.folder, \"clock\")}"},
+		{File: observer, Old: "time.Since(stored.freshAt)", New: "time.Since(stored.freshAt)+time.Duration(beside(o.config.Folder, \"clock\"))*time.Millisecond"},
 	}}
 }
--- a/internal/clustertest/virtual/mutants.go
+++ b/internal/clustertest/virtual/mutants.go
@@ -21,8 +21,8 @@
 		one("log-unsynced", "a voter's log, term and vote are written and not synced", lost,
 			"voter/disk/store.go", "raftboltdb.New(raftboltdb.Options{Path: s.path,", "raftboltdb.New(raftboltdb.Options{NoSync: true, Path: s.path,"),
 		{Mutant: sim.Mutant{Name: "observer-unsynced", About: "what an observer has shown is written and not synced, in either file", Edits: []sim.Edit{
-			{File: "internal/cluster/observer/disk.go", Old: "&bolt.Options{Timeout: lockWait,", New: "&bolt.Options{NoSync: true, Timeout: lockWait,"},
-			{File: "internal/cluster/observer/floor.go", Old: "	if err := f.f.Sync(); err != nil {", New: "	if err := error(nil); err != nil {"},
+			{File: "internal/cluster/observer/disk.go", Old: "&bolt.Options{Timeout: lockTimeout,", New: "&bolt.Options{NoSync: true, Timeout: lockTimeout,"},
+			{File: "internal/cluster/observer/floor.go", Old: "	if err := w.file.Sync(); err != nil {", New: "	if err := error(nil); err != nil {"},
 		}}, Finds: []history.Promise{history.NeverBack}},
 	}
 }
