--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster is one process's part in a cluster: a voter or an observer, with the cluster's address on which others
-// reach it. docs/cluster.md has the design and what someone on call does.
+// Package cluster runs one member of a cluster, a voter or an observer, and serves it on the cluster address.
+// The design and the operating procedures are in docs/cluster.md.
 package cluster
 
 import (
@@ -27,24 +27,25 @@
 	"burlpass/internal/rules"
 )
 
-// Peer is another member as this process reaches it.
+// Peer is the name and address of another member.
 type Peer struct{ Name, Addr string }
 
-// Config is what a member is told. internal/program has it from the configuration file, and has checked it.
+// Config configures a member. internal/program reads and validates it from the configuration file.
 type Config struct {
-	Name   string // the cluster's
-	Member string // this process's name in it; a voter where it stands among Voters
-	Listen string // the cluster's address, host:port
-	Folder string // "": an observer that keeps nothing
-	Voters []Peer // in the one order that all members have
-	Follow []Peer // observers that may be followed too
-	Rules  bool   // the record holds rules of teams; the same at all members, from the forming on
-	// Limits are those of the fleet by a state of the record; nil: those of the rules, none without rules.
+	Name   string // of the cluster
+	Member string // name of this process; it is a voter if Voters contains it
+	Listen string // cluster address, host:port
+	Folder string // "": an observer that keeps nothing // data folder; "" for an observer without persistent state
+	Voters []Peer // in the same order at all members
+	Follow []Peer // further observers that may be followed
+	Rules  bool   // whether the record holds rules of teams; the same at all members since the cluster was formed
+	// Limits returns the cluster-wide limits in a state of the record. If nil, they are the limits of the rules, or
+	// none without rules.
 	Limits func(record.View) []lease.Limit
 	Log    *slog.Logger
 }
 
-// Member is an open member.
+// Member is a running member of a cluster.
 type Member struct {
 	api.Member
 	listener net.Listener
@@ -54,7 +55,7 @@
 	close    func() error
 }
 
-// domains are the kinds of items that the record has.
+// domains returns the domains of the record.
 func (c *Config) domains() []record.Domain {
 	out := []record.Domain{record.Orders()}
 	if c.Rules {
@@ -63,7 +64,7 @@
 	return out
 }
 
-// leaderTask is what a voter does besides while it leads: it moves timelines.
+// leaderTask returns what a voter runs while it leads: the reconciler that advances timelines. It is nil without rules.
 func (c *Config) leaderTask() func(context.Context, api.Member) {
 	if !c.Rules {
 		return nil
@@ -72,10 +73,11 @@
 	return func(ctx context.Context, m api.Member) { reconciler.New(log).Run(ctx, m, reconciler.Pause) }
 }
 
-// dialTimeout bounds an observer's dial.
+// dialTimeout limits how long an observer waits for a connection.
 const dialTimeout = 500 * time.Millisecond
 
-// Open takes this process's part. It returns without waiting for any other. The error is one line with its place.
+// Open starts this member and returns without waiting for other members. The error is a single line that names the
+// setting or the part that failed.
 func Open(ctx context.Context, c Config) (*Member, error) {
 	ln, err := net.Listen("tcp4", c.Listen)
 	if err != nil {
@@ -132,10 +134,11 @@
 	return m, nil
 }
 
-// Figures are the member's, to be added to.
+// Figures returns the metrics registry of the member. Callers may register further collectors.
 func (m *Member) Figures() *prometheus.Registry { return m.metrics.Registry }
 
-// ruleLimits are the limits of the rules that a state has, for one goroutine. A state that cannot be read has those before.
+// ruleLimits returns a function that extracts the limits from the rules in a state of the record. The function must not be
+// used concurrently. For a state that cannot be decoded it returns the limits of the last one that could.
 func ruleLimits() func(record.View) []lease.Limit {
 	decoder := &rules.Decoder{}
 	var table *rules.Table
@@ -151,10 +154,10 @@
 	}
 }
 
-// Addr is where other members connect.
+// Addr returns the address on which other members connect.
 func (m *Member) Addr() net.Addr { return m.listener.Addr() }
 
-// Close ends this process's part: what it has acknowledged stays, others go on without it.
+// Close stops the member. Acknowledged writes are kept and the other members continue without it.
 func (m *Member) Close() error {
 	err := m.close()
 	err = errors.Join(err, m.server.Close())
