--- a/internal/cluster/frames/frames.go
+++ b/internal/cluster/frames/frames.go
@@ -1,7 +1,7 @@
-// Package frames guards what members of a cluster say to one another against bytes that a network spoils and TCP's sum of 16
-// bits lets through: raft's messages, a handed-on write or an age have no checksum of their own. Whoever dials sends a preface
-// and then frames, and is answered in frames; a connection without the preface is left as it is, so that the address answers
-// curl as well.
+// Package frames protects the connections between members of a cluster against corruption that the 16-bit checksum of TCP
+// misses: raft messages, forwarded writes and ages have no checksum of their own. The dialing side sends a preface followed
+// by frames, and receives frames. A connection without the preface is passed through unchanged, so that the same address also
+// serves plain HTTP clients such as curl.
 package frames
 
 import (
@@ -19,15 +19,15 @@
 )
 
 const (
-	preface         = "\x00burlpass-1\n" // no request begins with a zero byte
-	headerBytes     = 8                  // length and its complement, two bytes each, and a CRC-32C over the payload
-	maxPayloadBytes = 16 << 10           // of a payload
+	preface         = "\x00burlpass-1\n" // starts with a zero byte, which no HTTP request does
+	headerBytes     = 8                  // 16-bit length, its complement and a CRC-32C of the payload
+	maxPayloadBytes = 16 << 10
 )
 
-// ErrSpoilt is a frame that is not what was sent. The connection is of no use any more.
-var ErrCorrupted = errors.New("bytes were spoilt on the way")
+// ErrCorrupted reports a frame that was altered in transit. The connection cannot be used any further.
+var ErrCorrupted = errors.New("frame corrupted in transit")
 
-// Dial makes a connection of a dialer's one that speaks frames.
+// Dial wraps a dial function so that its connections send and receive frames.
 func Dial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Listen gives the connections of a listener, in frames where whoever dialled speaks them.
+// Listen wraps a listener so that its connections use frames if the dialing side does.
 func Listen(l net.Listener) net.Listener { return listener{l} }
 
 type listener struct{ net.Listener }
@@ -57,21 +57,21 @@
 	return m
 }
 
-// conn is one end. What was read of an unfinished frame is kept, for reads may be broken off by a deadline and go on.
+// conn is one end of a connection. It keeps a partially received frame, so that a read interrupted by a deadline can resume.
 type conn struct {
 	net.Conn
 	table  *crc32.Table
 	dialed bool
-	framed *atomic.Bool // of who has accepted, known after the first read, which comes before the first write
+	framed *atomic.Bool // on an accepted connection set by the first read, which precedes the first write
 
 	readMu         sync.Mutex
-	prefaceChecked bool   // whether the preface was there
-	undecoded      []byte // read and not looked at
-	decoded        []byte // payload that nobody has had
+	prefaceChecked bool   // whether the presence of the preface is known
+	undecoded      []byte // received bytes
+	decoded        []byte // payload not yet returned by Read
 	corrupted      bool
 
 	writeMu     sync.Mutex
-	prefaceSent bool // the preface was sent
+	prefaceSent bool
 	writeBuffer []byte
 }
 
@@ -104,7 +104,7 @@
 	return 0, nil
 }
 
-// fill reads what there is.
+// fill reads the available bytes into undecoded.
 func (c *conn) fill() (int, error) {
 	var chunk [4 << 10]byte
 	n, err := c.Conn.Read(chunk[:])
@@ -112,7 +112,7 @@
 	return n, err
 }
 
-// parse takes a preface or a frame from raw, if a whole one is there.
+// decode consumes the preface or a complete frame from undecoded, if there is one.
 func (c *conn) decode() error {
 	switch {
 	case c.corrupted:
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// Write sends b in as many frames as it takes, by one call each. The preface goes with the first.
+// Write sends b in one or more frames with one write each. The first one includes the preface.
 func (c *conn) Write(b []byte) (int, error) {
 	if !c.framed.Load() {
 		return c.Conn.Write(b)
@@ -167,7 +167,7 @@
 		c.writeBuffer = binary.BigEndian.AppendUint32(c.writeBuffer, crc32.Checksum(part, c.table))
 		c.writeBuffer = append(c.writeBuffer, part...)
 		if _, err := c.Conn.Write(c.writeBuffer); err != nil {
-			return sent, err // where a frame went in part, the other side finds it spoilt
+			return sent, err // the peer detects a partially sent frame as corrupted
 		}
 		c.prefaceSent = true
 		sent += len(part)
@@ -175,7 +175,7 @@
 	return len(b), nil
 }
 
-// CloseWrite ends this side's direction, as of a TCP connection.
+// CloseWrite closes the write side, as on a TCP connection.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// Quiet tells that nothing has come that was not read. It is for who does not read meanwhile.
+// Quiet reports whether there is no unread data. It is meant for callers that do not read concurrently.
 func (c *conn) Quiet() bool {
 	if !c.readMu.TryLock() {
 		return true
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica keeps a record beside the last entries that led to it. Voters feed it what consensus has committed,
-// observers what their source has sent; both answer readers and followers from it.
+// Package replica keeps a record together with the most recent entries that led to it. Voters apply committed entries to it
+// and observers those of their source; both serve readers and followers from it.
 package replica
 
 import (
@@ -10,26 +10,26 @@
 	"burlpass/internal/record"
 )
 
-// Bounds of the entries kept for followers; whoever is further behind gets the whole state.
+// Default limits on the entries retained for followers. A follower that is further behind receives the full state.
 const (
 	DefaultEntries = 8192
 	DefaultBytes   = 8 << 20
 )
 
-// Replica is a record that goes forward only. It is safe for concurrent use.
+// Replica is a record with its recent entries. It is safe for concurrent use.
 type Replica struct {
 	mu      sync.Mutex
 	machine *record.Machine
-	view    record.View // what is shown; nil where nobody has asked since the last entry: the machine's state then
-	entries [][]byte    // the last ones, the newest last
+	view    record.View // current view; nil until it is needed after a change
+	entries [][]byte    // retained entries, newest last
 	bytes   int
-	changed chan struct{} // closed at the next change; nil where nobody waits
+	changed chan struct{} // closed at the next change; nil if nobody waits
 
 	maxEntries, maxBytes int
 }
 
-// New returns a Replica of a machine, which nobody else may use from then on. It keeps at most that many entries and bytes
-// of them; 0: the defaults.
+// New returns a Replica that takes ownership of a machine and retains at most the given number of entries and bytes of them.
+// Zero selects the defaults.
 func New(m *record.Machine, entries, bytes int) *Replica {
 	if entries <= 0 {
 		entries = DefaultEntries
@@ -40,8 +40,8 @@
 	return &Replica{machine: m, maxEntries: entries, maxBytes: bytes}
 }
 
-// Apply takes the next entry, as record.Encode made it. On an error nothing has changed: the entry is not one, or of a
-// newer format.
+// Apply applies the next entry, as encoded by record.Encode. An invalid entry or one of a newer format is an error and
+// changes nothing.
 func (r *Replica) Apply(raw []byte) (record.Result, error) {
 	results, err := r.ApplyAll([][]byte{raw})
 	if err != nil {
@@ -50,8 +50,8 @@
 	return results[0], nil
 }
 
-// ApplyAll takes the next entries in their order, and gives their results. On an error the entries before the one that it is
-// of have been taken, as many as there are results, and none after it. Readers see all of them at once.
+// ApplyAll applies the next entries in order and returns their results. On an error the entries before the invalid one have
+// been applied and their results are returned. Readers see all applied entries at once.
 func (r *Replica) ApplyAll(raw [][]byte) ([]record.Result, error) {
 	entries, err := r.prepareAll(raw)
 	r.mu.Lock()
@@ -67,11 +67,11 @@
 	return results, err
 }
 
-// share is how many entries are prepared by one goroutine at least.
+// minEntriesPerGoroutine is the minimum number of entries that one goroutine prepares.
 const minEntriesPerGoroutine = 16
 
-// prepareAll decodes entries up to the first that is none, whose error it gives. That takes longer than applying them and
-// does not depend on what is before; so many entries, as at a start, are spread over the cores.
+// prepareAll decodes entries up to the first invalid one and returns its error. Decoding takes longer than applying and does
+// not depend on earlier entries, so large numbers of them, as at a start, are spread over all cores.
 func (r *Replica) prepareAll(raw [][]byte) ([]record.Prepared, error) {
 	entries, errs := make([]record.Prepared, len(raw)), make([]error, len(raw))
 	chunk := max(minEntriesPerGoroutine, (len(raw)+runtime.GOMAXPROCS(0)-1)/runtime.GOMAXPROCS(0))
@@ -97,7 +97,7 @@
 	return entries, nil
 }
 
-// keep remembers an entry for followers, and forgets the oldest where that makes too much. It is called under the lock.
+// retain stores an entry for followers and drops the oldest ones beyond the limits. The caller must hold the lock.
 func (r *Replica) retain(raw []byte) {
 	r.entries, r.bytes = append(r.entries, raw), r.bytes+len(raw)
 	drop := 0
@@ -109,8 +109,8 @@
 	r.entries = r.entries[drop:]
 }
 
-// Restore replaces the state by a whole one, as record.Save wrote it. On an error nothing has changed. It does not look at
-// which is newer: a voter's consensus may restore an older one before it goes on, and shows nothing until then.
+// Restore replaces the state by a full one, as written by record.Save. On an error nothing changes. The new state may be
+// older: consensus may restore an older one on a voter, which serves no reads until it has caught up.
 func (r *Replica) Restore(src io.Reader) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// advance publishes the machine's state. It is called under the lock.
+// publish makes the current state of the machine visible. The caller must hold the lock.
 func (r *Replica) publish() {
 	r.view = nil
 	if r.changed != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// show makes the view where it is not there yet: after one the machine copies what it changes, so that entries that nobody
-// looks at between cost no copies. It is called under the lock.
+// currentView returns the view and creates it if necessary. The machine copies on write what a view shares, so entries that
+// nobody reads in between cost no copies. The caller must hold the lock.
 func (r *Replica) currentView() record.View {
 	if r.view == nil {
 		r.view = r.machine.View()
@@ -140,14 +140,14 @@
 	return r.view
 }
 
-// View is the state of now, which does not change.
+// View returns an immutable view of the current state.
 func (r *Replica) View() record.View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.currentView()
 }
 
-// Version is the one of View, without making that.
+// Version returns the version of the current state without creating a view.
 func (r *Replica) Version() record.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +157,7 @@
 	return r.machine.Version()
 }
 
-// Changed is closed when the state after the one that View gives now is there: take it before View.
+// Changed returns a channel that is closed when the state changes. Call it before View to miss no change.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,8 +167,8 @@
 	return r.changed
 }
 
-// Since gives the entries after a version and the state that they lead to. It is false where they are no longer all there, or
-// the version is newer than the state; the state is given all the same.
+// Since returns the entries after a version and the view that they lead to. It returns false, with the view, if not all of
+// them are retained or the version is newer than the state.
 func (r *Replica) Since(v record.Version) ([][]byte, record.View, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cluster/replica/stage.go
+++ b/internal/cluster/replica/stage.go
@@ -8,13 +8,13 @@
 	"burlpass/internal/record"
 )
 
-// ErrOther is a state that is not the one it was said to be.
-var ErrStateMismatch = errors.New("not the state that was told")
+// ErrStateMismatch reports entries that do not lead to the expected state.
+var ErrStateMismatch = errors.New("state does not match its version and hash")
 
-// Stage applies entries that are said to lead to a version with a hash, and shows nothing of them yet: neither View nor Since
-// knows them before commit, so that they can be stored first. On an error nothing has changed. Between Stage and
-// commit nobody may call Apply, Restore or Stage; a commit that never comes leaves the Replica showing what it showed, and
-// good for nothing else.
+// Stage applies entries that must lead to the given version and hash, but does not publish them: View and Since ignore them
+// until commit, so that the caller can store them first. On an error nothing changes. Apply, Restore and Stage must not be
+// called between Stage and commit. If commit is never called, the Replica keeps serving the previous state and must not be
+// modified again.
 func (r *Replica) Stage(raw [][]byte, version record.Version, hash string) (commit func(), err error) {
 	entries, err := r.prepareAll(raw)
 	if err != nil {
@@ -22,13 +22,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.currentView() // before the machine goes on
+	r.currentView() // before the machine changes
 	for _, e := range entries {
 		r.machine.ApplyPrepared(e)
 	}
 	after := r.machine.View()
 	if after.Version() != version || after.Hash() != hash {
-		err := fmt.Errorf("%w: version %d, hash %s where version %d, hash %s was said", ErrStateMismatch, after.Version(), after.Hash(), version, hash)
+		err := fmt.Errorf("%w: got version %d, hash %s, want version %d, hash %s", ErrStateMismatch, after.Version(), after.Hash(), version, hash)
 		return nil, errors.Join(err, r.rollback())
 	}
 	return func() {
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// takeBack puts the machine back to what is shown, which costs as much as the state is large. It is called under the lock.
+// rollback restores the machine to the published state, at a cost proportional to its size. The caller must hold the lock.
 func (r *Replica) rollback() error {
 	var state bytes.Buffer
 	if err := record.Save(&state, r.view); err != nil {
