--- a/internal/cluster/api/batches.go
+++ b/internal/cluster/api/batches.go
@@ -11,28 +11,29 @@
 	"burlpass/internal/record"
 )
 
-// Of what is encoded once and sent to many.
+// Limits of the caches of encoded entries and states.
 const (
-	cachedBodies       = 8        // answers remembered, for as many versions that followers are at
-	maxCachedBodyBytes = 64 << 10 // bytes of one; a longer answer is written straight from the replica's entries
+	cachedBodies       = 8        // response bodies, one for each version that followers are at
+	maxCachedBodyBytes = 64 << 10 // longer responses are written directly from the replica's entries
 	stateCacheTTL      = 10 * time.Second
 	stateSlotTimeout   = 500 * time.Millisecond
 )
 
-// bodyCache remembers the last answers' lines, so that followers at one version are sent the same bytes.
+// bodyCache holds the most recent response bodies, so that followers at the same version share the same bytes.
 type bodyCache struct {
 	mu    sync.Mutex
 	slots [cachedBodies]cachedBody
 	next  int
 }
 
+// cachedBody is the encoded response from one version to another.
 type cachedBody struct {
 	since, version record.Version
-	hash           string // a mended state may have been another one at this version
-	lines          []byte // entries, then the last line
+	hash           string // two states at one version may differ after a repair
+	lines          []byte // entries and the trailer
 }
 
-// lines gives the lines lines a batch lines entries, nil where it is too long to be remembered.
+// encodedLines returns the encoded entries and trailer of a batch, or nil if they are too long for the cache.
 func (c *bodyCache) encodedLines(b *Batch) []byte {
 	if b.Size() > maxCachedBodyBytes {
 		return nil
@@ -54,28 +55,29 @@
 	return lines
 }
 
-// stateCache encodes whole stateCache: one at a time, and the last one serves everybody for as long as the entries after it are
-// still there. At most as many are being sent as there are slots, and so many are in memory.
+// stateCache encodes full states. Only one is encoded at a time, and it is reused while the replica still has the entries
+// after it. The number of slots limits the concurrent transfers and so the number of encoded states in memory.
 type stateCache struct {
 	slots    chan struct{}
-	encoding chan struct{} // held while one is being encoded
+	encoding chan struct{} // held while a state is encoded
 	mu       sync.Mutex
 	last     *encodedState
 }
 
-// encodedState is an encoded state.
+// encodedState is a full state in its encoded form.
 type encodedState struct {
 	version   record.Version
 	hash      string
 	lines     []byte
 	lineCount int
 	encodedAt time.Time
-	freshAt   time.Time // it was surely the newest then
+	freshAt   time.Time // when it was certainly the newest
 }
 
-var errBusy = errors.New("as many whole states as are allowed are being sent")
+var errBusy = errors.New("too many full states are being sent")
 
-// acquire waits a little for a slot and gives a state not older than since; done frees the slot.
+// acquire waits up to stateSlotTimeout for a slot and returns a state that is not older than since. The caller must call
+// release after the transfer.
 func (s *stateCache) acquire(ctx context.Context, r *replica.Replica, since record.Version, freshAt time.Time) (state *encodedState, release func(), err error) {
 	ctx, cancel := context.WithTimeout(ctx, stateSlotTimeout)
 	defer cancel()
@@ -116,7 +118,7 @@
 	return state, release, nil
 }
 
-// evictExpired drops the last state once it is too old to be asked for again. It is called now and then.
+// evictExpired drops the cached state once it has expired. It is called after each request for entries.
 func (s *stateCache) evictExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/api/client.go
+++ b/internal/cluster/api/client.go
@@ -18,27 +18,27 @@
 	"burlpass/internal/record"
 )
 
-// Bounds of answers that a client reads, in bytes.
+// Limits on the size of responses.
 const (
 	maxReadBytes     = 64 << 20 // of a read
-	maxResponseBytes = 4 << 20  // of anything else but entries
+	maxResponseBytes = 4 << 20  // of any other call except for entries
 )
 
-// Client asks one member. It is safe for concurrent use, and keeps no state of its own.
+// Client calls one member. It is safe for concurrent use and stateless.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the member at an address, host:port. The transport holds the connections and is the caller's
-// to close; nil: http.DefaultTransport. No redirect is followed.
+// NewClient returns a client of the member at addr, host:port. The caller owns the transport; nil means
+// http.DefaultTransport. The client follows no redirects.
 func NewClient(addr string, transport http.RoundTripper) *Client {
 	return &Client{"http://" + addr, &http.Client{Transport: transport,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-// NewTransport returns connections for clients: a dial is given up after dial, and idle ones are kept for reuse. A nil dialer is
-// the system's.
+// NewTransport returns a transport for clients that limits the time of a dial and keeps idle connections. A nil dialer means
+// the system dialer.
 func NewTransport(dialTimeout time.Duration, dialer func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Transport {
 	if dialer == nil {
 		dialer = (&net.Dialer{}).DialContext
@@ -54,7 +54,7 @@
 	}
 }
 
-// get asks for a JSON answer of status 200. Another status is an error with what the member says.
+// get decodes the JSON body of a response with status 200 into dst. The error for any other status includes the body.
 func (c *Client) get(ctx context.Context, path string, q url.Values, maxBytes int64, dst any) (status int, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path+"?"+q.Encode(), nil)
 	if err != nil {
@@ -74,22 +74,23 @@
 	return resp.StatusCode, err
 }
 
+// readAll reads a body of at most maxBytes.
 func readAll(src io.Reader, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(src, maxBytes+1))
 	if err == nil && int64(len(body)) > maxBytes {
-		err = fmt.Errorf("an answer over %d bytes", maxBytes)
+		err = fmt.Errorf("response exceeds %d bytes", maxBytes)
 	}
 	return body, err
 }
 
-// Status asks what the member says of itself.
+// Status returns the status of the member.
 func (c *Client) Status(ctx context.Context) (st Status, err error) {
 	_, err = c.get(ctx, "/v1/status", nil, maxResponseBytes, &st)
 	return st, err
 }
 
-// Read asks for the items of a kind, or for one where key is not empty. The error is ErrNothing where the member shows
-// nothing yet, ErrRefused where it cannot prove what a consistent read asks.
+// Read returns all items of a kind, or the one with the given key if it is not empty. The error is ErrNothing if the member
+// has no state yet and ErrRefused if it cannot serve a consistent read.
 func (c *Client) Read(ctx context.Context, kind record.Kind, key string, consistent bool) (*ReadResponse, error) {
 	q := url.Values{"kind": {string(kind)}}
 	if key != "" {
@@ -109,7 +110,7 @@
 	return a, nil
 }
 
-// Result asks what the member remembers of a write; false where that is nothing.
+// Result returns the stored result of a write, or false if the member has none.
 func (c *Client) Result(ctx context.Context, id string) (result record.Result, ok bool, err error) {
 	status, err := c.get(ctx, "/v1/result", url.Values{"id": {id}}, maxResponseBytes, &result)
 	if status == http.StatusNotFound {
@@ -118,7 +119,7 @@
 	return result, err == nil, err
 }
 
-// ReadIndex asks a voter for the version that a consistent read has to wait for, and of which cluster that is.
+// ReadIndex asks a voter for the version that a consistent read has to wait for, and for the ID of its cluster.
 func (c *Client) ReadIndex(ctx context.Context) (v record.Version, cluster string, err error) {
 	var a struct {
 		Version *record.Version `json:"version"`
@@ -128,13 +129,13 @@
 		return 0, "", err
 	}
 	if a.Version == nil {
-		return 0, "", errors.New("an answer without a version")
+		return 0, "", errors.New("response has no version")
 	}
 	return *a.Version, a.Cluster, nil
 }
 
-// Write has the member see to a write. The error is ErrRefused where it surely was not taken: no connection came about, or
-// the member says so. Anything else that is not a result is ErrUnknown.
+// Write sends a write to the member. The error is ErrRefused if the write was certainly not applied, because no connection
+// was established or the member said so. Any other failure is ErrUnknown.
 func (c *Client) Write(ctx context.Context, write *record.Write) (record.Result, error) {
 	body, err := json.Marshal(write)
 	if err != nil {
@@ -169,19 +170,19 @@
 	return parseWriteResponse(resp.StatusCode, respBody, write.ID)
 }
 
-// parseWriteResponse is what an answer to a write says.
+// parseWriteResponse interprets a response to a write.
 func parseWriteResponse(status int, body []byte, id string) (record.Result, error) {
 	var reply struct {
 		Refused, Unknown, Invalid string
 	}
 	if status != http.StatusOK {
-		_ = json.Unmarshal(body, &reply) // without a word in it the answer may be anybody's
+		_ = json.Unmarshal(body, &reply) // on failure reply stays empty: the response may not come from a member
 	}
 	switch {
 	case status == http.StatusOK:
 		var result record.Result
 		if err := json.Unmarshal(body, &result); err != nil || result.ID != id || result.Outcome == "" {
-			return record.Result{}, fmt.Errorf("%w: an answer that is no result of it: %.100q", ErrUnknown, body)
+			return record.Result{}, fmt.Errorf("%w: response is not a result of write: %.100q", ErrUnknown, body)
 		}
 		return result, nil
 	case status == http.StatusServiceUnavailable && reply.Refused != "":
--- a/internal/cluster/api/dryrun.go
+++ b/internal/cluster/api/dryrun.go
@@ -9,14 +9,14 @@
 	"burlpass/internal/rules"
 )
 
-// DryRunResponse is the answer to /v1/dryrun: what a write would meet at this member's state.
+// DryRunResponse is the response to /v1/dryrun: the outcome that a write would have on the state of this member.
 type DryRunResponse struct {
 	Version record.Version `json:"version"`
-	AgeMs   int64          `json:"age_ms"` // -1: not known
+	AgeMs   int64          `json:"age_ms"` // -1 if unknown
 	rules.Answer
 }
 
-// dryRun answers what stands against a write of rules, all of it, and writes nothing.
+// dryRun reports every objection to a write of rules without applying it.
 func (s *server) dryRun(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	_ = http.NewResponseController(w).SetReadDeadline(started.Add(s.options.RequestTimeout))
--- a/internal/cluster/api/entries.go
+++ b/internal/cluster/api/entries.go
@@ -12,13 +12,13 @@
 	"burlpass/internal/record"
 )
 
-// entriesQuery is a follower's question.
+// entriesQuery is a parsed request for /v1/entries.
 type entriesQuery struct {
 	since       record.Version
 	wait        time.Duration
 	name, addr  string
-	fullState   bool // the whole state, whatever it is at
-	avoidLeader bool // it would rather follow another member than the leader
+	fullState   bool // return the full state, even if entries would suffice
+	avoidLeader bool // refuse if this member is the leader
 }
 
 func parseEntriesQuery(r *http.Request) (a entriesQuery, err error) {
@@ -47,7 +47,7 @@
 	return a, validateAddr(a.addr)
 }
 
-// entriesRefusal is an answer to /v1/entries without any.
+// entriesRefusal is a response to /v1/entries without entries.
 type entriesRefusal struct {
 	Full         bool   `json:"full,omitempty"`
 	Alternatives []Peer `json:"try,omitempty"`
@@ -85,7 +85,7 @@
 		}
 		return
 	}
-	// The age is taken before the state, so that the state is at least as new as it says.
+	// The age is read before the state, so that the state is at least as new as the age claims.
 	_, age, err := s.member.Read(ctx, false)
 	if err != nil {
 		decline(entriesRefusal{Nothing: err.Error()})
@@ -101,7 +101,7 @@
 	if b.Path == nil {
 		b.Path = []string{status.Name}
 	}
-	// A follower that is ahead of this member is told so by an answer of no entries; an older state is of no use to it.
+	// A follower that is ahead of this member gets a batch without entries, because an older state is useless to it.
 	if a.fullState && view.Version() >= a.since || !ok && view.Version() > a.since {
 		encoded, releaseSlot, err := s.states.acquire(ctx, state, a.since, freshAt)
 		if err != nil {
@@ -126,8 +126,8 @@
 	s.sendBatch(w, b, parts)
 }
 
-// waitForNewer holds a call back until there is something newer than what it asks after, or its waitForNewer has passed. It is false where
-// the call has ended.
+// waitForNewer blocks until the state is newer than the queried version or the wait has passed. It returns false if the call
+// has ended.
 func waitForNewer(ctx context.Context, state *replica.Replica, a entriesQuery) bool {
 	timer := time.NewTimer(a.wait)
 	defer timer.Stop()
@@ -146,15 +146,15 @@
 	}
 }
 
-// sendBatch writes an answer. What is written is nobody's but the answer's and is shared between followers; a follower that does
-// not take it in time loses its connection.
+// sendBatch writes a batch. The parts may be shared between followers and must not be modified. A follower that reads too
+// slowly is disconnected.
 func (s *server) sendBatch(w http.ResponseWriter, b *Batch, parts [][]byte) {
 	header := b.AppendHeader(make([]byte, 0, 512))
 	size := len(header)
 	for _, part := range parts {
 		size += len(part)
 	}
-	if len(parts) == 1 { // one write for the usual small answer
+	if len(parts) == 1 { // a single write for the common small response
 		parts, header = nil, append(header, parts[0]...)
 	}
 	rc := http.NewResponseController(w)
@@ -169,7 +169,7 @@
 		err = rc.Flush()
 	}
 	if err != nil {
-		panic(http.ErrAbortHandler) // the connection is in the middle of an answer
+		panic(http.ErrAbortHandler) // the response is incomplete
 	}
 	_ = rc.SetWriteDeadline(time.Time{})
 	s.metrics.observeBatch(b, size)
--- a/internal/cluster/api/follow.go
+++ b/internal/cluster/api/follow.go
@@ -14,17 +14,17 @@
 	"burlpass/internal/record"
 )
 
-// EntriesRequest is what a follower asks of its source.
+// EntriesRequest is a follower's request for entries.
 type EntriesRequest struct {
-	Since       record.Version // that it has
-	Wait        time.Duration  // at most, for something newer
-	Name, Addr  string         // its own; the address, where it has one, is told to others
-	FullState   bool           // the whole state, not older than Since
-	AvoidLeader bool           // ErrLeader is wanted where the source leads
+	Since       record.Version // version that the follower has
+	Wait        time.Duration  // how long the source may wait for newer entries
+	Name, Addr  string         // of the follower; the address is optional and is given to other followers
+	FullState   bool           // request a full state that is not older than Since
+	AvoidLeader bool           // fail with ErrSourceIsLeader if the source leads
 
-	// SilenceTimeout is how long the source may say nothing, beyond Wait before the first byte and between any two.
+	// SilenceTimeout is how long the source may send nothing: beyond Wait before the first byte, and between any two bytes.
 	SilenceTimeout time.Duration
-	MaxBytes       int64 // bytes of the answer; 0: DefaultMost
+	MaxBytes       int64 // of the response; 0 means DefaultMaxBatchBytes
 }
 
 // Errors of Entries.
@@ -33,16 +33,16 @@
 	errSourceSilent   = errors.New("the source is silent")
 )
 
-// AtCapacityError is a source without a free place.
-type AtCapacityError struct{ Alternatives []Peer } // its own followers
+// AtCapacityError is returned by a source that accepts no further followers. Alternatives are its own followers.
+type AtCapacityError struct{ Alternatives []Peer }
 
 // Error implements error.
 func (e *AtCapacityError) Error() string {
-	return fmt.Sprintf("no free place; it names %d others", len(e.Alternatives))
+	return fmt.Sprintf("follower capacity reached; %d alternatives", len(e.Alternatives))
 }
 
-// Entries is one long call for what is newer than the asker's state. An answer that is not whole, in every line and by its
-// own count, is an error: nothing of it is used.
+// Entries long-polls for entries that are newer than the state of the follower. An incomplete or malformed response is an
+// error and none of it is used.
 func (c *Client) Entries(ctx context.Context, req EntriesRequest) (*Batch, error) {
 	q := url.Values{"since": {strconv.FormatUint(uint64(req.Since), 10)}, "name": {req.Name},
 		"wait_ms": {strconv.FormatInt(req.Wait.Milliseconds(), 10)}}
@@ -78,14 +78,14 @@
 		return nil, causeOf(ctx, err)
 	}
 	if b.Since != req.Since {
-		return nil, fmt.Errorf("entries after %d where those after %d were asked for", b.Since, req.Since)
+		return nil, fmt.Errorf("got entries after version %d, requested those after %d", b.Since, req.Since)
 	}
-	// Of the time since the question only what the source says it waited is surely no part of the age.
+	// Only the time that the source reports as waited certainly does not add to the age; the rest of the round trip may.
 	b.AgeMs += max(0, ceilMs(time.Since(sentAt))-b.WaitedMs)
 	return b, nil
 }
 
-// causeOf prefers why a call was ended to how that showed.
+// causeOf returns the reason why ctx was cancelled, or err if it was not.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -93,6 +93,7 @@
 	return err
 }
 
+// refusalError converts a response without entries to an error.
 func refusalError(resp *http.Response, body io.Reader) error {
 	content, err := readAll(body, maxResponseBytes)
 	if err != nil {
@@ -113,18 +114,18 @@
 	return fmt.Errorf("%w: %.200s", ErrRefused, refusal.Refused)
 }
 
-// What a source must send at least, so that one that dribbles is given up too.
+// Minimum receive rate, which also disconnects a source that sends very slowly.
 const (
-	minReceiveTime = 10 * time.Second // for what is short
-	minReceiveRate = 64 << 10         // bytes a second of what is long
+	minReceiveTime = 10 * time.Second // granted to every response
+	minReceiveRate = 64 << 10         // bytes per second
 )
 
-// monitoredReader puts the alarm off with every read, as long as enough comes.
+// monitoredReader resets the watchdog with every read while enough data arrives.
 type monitoredReader struct {
 	src             io.Reader
 	watchdog        *time.Timer
 	silenceTimeout  time.Duration
-	initialDeadline time.Time // of the first bytes
+	initialDeadline time.Time // by which the response may still be short
 	received        int64
 }
 
--- a/internal/cluster/api/followers.go
+++ b/internal/cluster/api/followers.go
@@ -15,27 +15,28 @@
 	Addr string `json:"addr"`
 }
 
-// followerTable are the places that a member has for those who follow it, by name.
+// followerTable tracks the slots of a member's followers by name.
 type followerTable struct {
 	capacity int
-	ttl      time.Duration // a place stays so long after its last call
+	ttl      time.Duration // how long a slot is kept after the last call
 	now      func() time.Time
 
 	mu     sync.Mutex
 	byName map[string]*followerSlot
 }
 
-var errSuperseded = errors.New("asked again under the same name")
+var errSuperseded = errors.New("superseded by a newer call with the same name")
 
+// followerSlot is the slot of one follower.
 type followerSlot struct {
 	addr        string
-	cancelCall  context.CancelCauseFunc // of the open call; nil between calls
-	lastCallEnd time.Time               // the last call ended
+	cancelCall  context.CancelCauseFunc // cancels the open call; nil between calls
+	lastCallEnd time.Time               // when the last call ended
 }
 
-// admit takes a place, or the one that the name has already. An older call under the same name ends with errAnew: its
-// caller has given it up, or two members share a name, and then neither may hold two places. The context is the
-// call's; leave ends it. Without a free place it gives those to ask instead.
+// admit assigns a slot to a follower, or the one that its name already has. An older call under the same name ends with
+// errSuperseded: either its caller has abandoned it, or two members share a name and neither may hold two slots. callCtx is
+// the context of the call and release ends it. Without a free slot callCtx is nil and alternatives lists members to ask instead.
 func (f *followerTable) admit(ctx context.Context, name, addr string) (callCtx context.Context, release func(), alternatives []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +61,7 @@
 	}, nil
 }
 
-// forget drops the places of those who have not asked again. It is called under the lock.
+// evictExpired removes the slots of followers that have not called again in time. The caller must hold the lock.
 func (f *followerTable) evictExpired() {
 	now := f.now()
 	for name, p := range f.byName {
@@ -70,7 +71,7 @@
 	}
 }
 
-// present lists, by name, the followers that gave an address. It is called under the lock.
+// advertised lists, by name, the followers that gave an address. The caller must hold the lock.
 func (f *followerTable) advertised() []Peer {
 	var list []Peer
 	for name, p := range f.byName {
@@ -82,7 +83,7 @@
 	return list
 }
 
-// count is how many places are taken.
+// count returns the number of occupied slots.
 func (f *followerTable) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/cluster/api/lease.go
+++ b/internal/cluster/api/lease.go
@@ -11,9 +11,9 @@
 	"burlpass/internal/lease"
 )
 
-const maxLeaseBytes = 64 << 10 // bytes of a question about leases
+const maxLeaseBytes = 64 << 10 // of a lease request body
 
-// lease serves POST /v1/lease. Nothing hangs on a question that was lost, so all that fails is refused.
+// lease serves POST /v1/lease. A lost request has no lasting effect, so every failure is reported as refused.
 func (s *server) lease(w http.ResponseWriter, r *http.Request) {
 	var ask lease.Ask
 	err := decodeBody(http.MaxBytesReader(w, r.Body, maxLeaseBytes), &ask)
@@ -34,7 +34,7 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// Lease asks the member to have leases divided. The error is ErrRefused whatever happened: what was given and is not heard of ends by
+// Lease requests leases through the member. Every error is ErrRefused: a lease that was granted in a lost response expires by
 // itself.
 func (c *Client) Lease(ctx context.Context, ask lease.Ask) (a lease.Answer, err error) {
 	body, err := json.Marshal(ask)
@@ -59,7 +59,7 @@
 		err = json.Unmarshal(respBody, &a)
 	}
 	if err == nil && a.Number != ask.Number {
-		err = errors.New("an answer to another question")
+		err = errors.New("response belongs to another request")
 	}
 	if err != nil {
 		return lease.Answer{}, fmt.Errorf("%w: %w", ErrRefused, err)
--- a/internal/cluster/api/metrics.go
+++ b/internal/cluster/api/metrics.go
@@ -10,10 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Metrics are a member's figures, in a registry of their own, which others may add to.
+// Metrics are a member's metrics in their own registry, to which others may add collectors.
 type Metrics struct {
 	Registry      *prometheus.Registry
-	SourceChanges prometheus.Counter // times that an observer has gone over to another source
+	SourceChanges prometheus.Counter // how often an observer switched to another source
 
 	calls        *prometheus.CounterVec
 	writes       *prometheus.CounterVec
@@ -23,7 +23,7 @@
 	states       prometheus.Counter
 }
 
-// NewMetrics returns figures at zero.
+// NewMetrics returns metrics that start at zero.
 func NewMetrics() *Metrics {
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "burlpass_cluster_" + name, Help: help})
@@ -46,7 +46,7 @@
 	return m
 }
 
-// counted has the calls of a pattern, METHOD PATH, counted as they come in.
+// countCalls wraps the handler of a pattern, METHOD PATH, to count its calls on arrival.
 func (m *Metrics) countCalls(pattern string, h http.Handler) (string, http.Handler) {
 	_, path, _ := strings.Cut(pattern, " ")
 	calls := m.calls.WithLabelValues(path)
@@ -69,7 +69,7 @@
 	}
 }
 
-// watch adds what a member says of itself, asked when the figures are.
+// registerMember adds metrics of the member's status, which is read on each scrape.
 func (m *Metrics) registerMember(member Member, followers func() int) {
 	m.Registry.MustRegister(&memberCollector{member: member, followers: followers})
 }
@@ -78,7 +78,7 @@
 	return promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{MaxRequestsInFlight: 4})
 }
 
-// watcher collects a member's status. Its descriptions are made once.
+// memberCollector collects a member's status. Its descriptors are created once.
 type memberCollector struct {
 	member        Member
 	followers     func() int
@@ -98,7 +98,7 @@
 	c.followerCount = prometheus.NewDesc("burlpass_cluster_followers", "Followers that have a place here.", nil, nil)
 }
 
-// Describe is a prometheus.Collector's.
+// Describe implements prometheus.Collector.
 func (c *memberCollector) Describe(ch chan<- *prometheus.Desc) {
 	c.once.Do(c.describe)
 	for _, d := range []*prometheus.Desc{c.version, c.age, c.role, c.followerCount} {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Collect is a prometheus.Collector's.
+// Collect implements prometheus.Collector.
 func (c *memberCollector) Collect(ch chan<- prometheus.Metric) {
 	c.once.Do(c.describe)
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
--- a/internal/cluster/api/server.go
+++ b/internal/cluster/api/server.go
@@ -27,25 +27,25 @@
 	DefaultRequestTimeout    = 10 * time.Second
 )
 
-// Bounds of what callers ask.
+// Limits on requests.
 const (
 	maxWait           = 10 * time.Second // of a call to /v1/entries
-	maxParameterBytes = 512              // bytes of names, kinds, keys and ids in a query
-	maxHops           = 4                // members that hand a write on
+	maxParameterBytes = 512              // of a query parameter
+	maxHops           = 4                // members that may forward a write
 	hopsHeader        = "Burlpass-Hops"
-	minSendRate       = 1 << 20 // bytes that a reader must take, beyond the first seconds
+	minSendRate       = 1 << 20 // bytes per second that a follower must read, after the first RequestTimeout
 )
 
-// Options of Handler. Zero values stand for the defaults.
+// Options configures Handler. Zero values select the defaults.
 type Options struct {
-	Followers         int            // that are served entries at a time
-	FollowerTTL       time.Duration  // a follower keeps its place so long after its last call
-	MaxStateTransfers int            // whole states that are sent at a time
-	MaxBodyBytes      int64          // bytes of a write
-	RequestTimeout    time.Duration  // for a write or a consistent read, and to send a reader a batch; below NewServer's 30 s
-	Metrics           *Metrics       // nil: its own
+	Followers         int            // maximum number of followers
+	FollowerTTL       time.Duration  // how long a follower keeps its slot after its last call
+	MaxStateTransfers int            // maximum number of full states sent concurrently
+	MaxBodyBytes      int64          // of a write
+	RequestTimeout    time.Duration  // of a write, a consistent read or a send to a reader; below the 30 s of NewServer
+	Metrics           *Metrics       // nil: new ones
 	Log               *slog.Logger   // nil: none
-	Rules             *rules.Decoder // for dry runs; nil: its own
+	Rules             *rules.Decoder // for dry runs; nil: a new one
 }
 
 type server struct {
@@ -58,7 +58,7 @@
 	states    stateCache
 }
 
-// Handler serves a member's calls except those between voters, which a voter puts on the same mux.
+// Handler serves the API of a member, except for the calls between voters, which a voter adds to the same mux.
 func Handler(member Member, options Options) *http.ServeMux {
 	options.Followers = orDefault(options.Followers, DefaultFollowers)
 	options.FollowerTTL, options.MaxStateTransfers = orDefault(options.FollowerTTL, DefaultFollowerTTL), orDefault(options.MaxStateTransfers, DefaultMaxStateTransfers)
@@ -88,14 +88,15 @@
 	return mux
 }
 
-// NewServer returns a server for a member's address with bounds on what strangers can hold open. Its Close ends long calls;
-// Shutdown waits for them, at most 10 s each.
+// NewServer returns a server for a member's address that limits the resources a client can hold. Close ends long polls;
+// Shutdown waits for them, up to maxWait each.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, WriteTimeout: 30 * time.Second, IdleTimeout: time.Minute,
 		MaxHeaderBytes: 16 << 10,
 		ErrorLog:       slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 }
 
+// orDefault returns v, or fallback if v is zero.
 func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
@@ -104,6 +105,7 @@
 	return v
 }
 
+// hopsKey is the context key of the number of members that have forwarded a write.
 type hopsKey struct{}
 
 func (s *server) write(w http.ResponseWriter, r *http.Request) {
@@ -135,13 +137,13 @@
 	case errors.Is(err, ErrRefused):
 		s.metrics.observeWrite("refused", started)
 		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"refused": err.Error()})
-	default: // whatever a member says that is not surely a refusal
+	default: // any other error leaves the outcome unknown
 		s.metrics.observeWrite("unknown", started)
 		writeJSON(w, http.StatusGatewayTimeout, map[string]string{"unknown": err.Error()})
 	}
 }
 
-// decodeBody reads one JSON value of known fields and nothing after it. The error tells the place.
+// decodeBody decodes exactly one JSON value without unknown fields. The error names the offset.
 func decodeBody(body io.Reader, dst any) error {
 	d := json.NewDecoder(body)
 	d.DisallowUnknownFields()
@@ -154,13 +156,13 @@
 	return nil
 }
 
-// ReadAnswer is the answer to /v1/read.
+// ReadResponse is the response to /v1/read.
 type ReadResponse struct {
 	Version record.Version `json:"version"`
-	TimeMs  int64          `json:"time_ms"` // the record's time
+	TimeMs  int64          `json:"time_ms"` // time of the record
 	Hash    string         `json:"hash"`
-	AgeMs   int64          `json:"age_ms"` // -1: not known
-	Items   []record.Item  `json:"items"`  // in the order of their keys
+	AgeMs   int64          `json:"age_ms"` // -1 if unknown
+	Items   []record.Item  `json:"items"`  // ordered by key
 }
 
 func (s *server) read(w http.ResponseWriter, r *http.Request) {
@@ -195,7 +197,7 @@
 			return true
 		})
 	}
-	// The items are the view's own; only their text is made here, and a slow reader holds it no longer than this.
+	// The deadline limits how long a slow reader keeps the encoded response in memory; the items belong to the view.
 	rc := http.NewResponseController(w)
 	_ = rc.SetWriteDeadline(time.Now().Add(s.options.RequestTimeout))
 	writeJSON(w, http.StatusOK, resp)
@@ -232,7 +234,7 @@
 	writeJSON(w, http.StatusOK, s.member.Status())
 }
 
-// unread answers a read that a member could not serve.
+// writeReadError responds to a read that the member could not serve.
 func writeReadError(w http.ResponseWriter, err error) {
 	reason := "refused"
 	if errors.Is(err, ErrNothing) {
@@ -241,22 +243,24 @@
 	writeJSON(w, http.StatusServiceUnavailable, map[string]string{reason: err.Error()})
 }
 
+// writeInvalid responds to a malformed request.
 func writeInvalid(w http.ResponseWriter, reason string) {
 	writeJSON(w, http.StatusBadRequest, map[string]string{"invalid": reason})
 }
 
+// writeJSON writes a JSON response with a trailing newline.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
-	if err != nil { // a raw value that is no JSON, which no domain lets in
+	if err != nil { // only a raw value that is not JSON, which no domain accepts
 		status, body = http.StatusInternalServerError, []byte(`{"unknown":"an item that is no JSON"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)+1))
 	w.WriteHeader(status)
-	_, _ = w.Write(append(body, '\n')) // who no longer listens has left the call
+	_, _ = w.Write(append(body, '\n')) // the client has gone
 }
 
-// query gives the parameters of a call, each at most once and known.
+// parseQuery returns the query parameters of a call. Each must be known and may occur once.
 func parseQuery(r *http.Request, known ...string) (map[string]string, error) {
 	values, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
@@ -277,7 +281,7 @@
 	return q, nil
 }
 
-// number reads a parameter of 0 to most, 0 where it is missing.
+// parseNumber returns a parameter between 0 and the maximum, or 0 if it is missing.
 func parseNumber(q map[string]string, name string, maxValue uint64) (uint64, error) {
 	if q[name] == "" {
 		return 0, nil
@@ -289,7 +293,7 @@
 	return n, nil
 }
 
-// checkAddr looks at an address that a follower wants told to others.
+// validateAddr checks an address that a follower wants to be given to others.
 func validateAddr(addr string) error {
 	if addr == "" {
 		return nil
@@ -301,7 +305,7 @@
 	return nil
 }
 
-// ceilMs rounds an age up, so that it is never told too young.
+// ceilMs converts an age to milliseconds, rounded up so that it is never reported too young.
 func ceilMs(d time.Duration) int64 {
 	return int64((max(d, 0) + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/cluster/api/wire.go
+++ b/internal/cluster/api/wire.go
@@ -11,59 +11,60 @@
 	"burlpass/internal/record"
 )
 
-// Format is the newest form of an answer to /v1/entries that this program writes and reads.
+// Format is the newest format of a response to /v1/entries that this program reads and writes.
 const Format = 1
 
-// What an answer to /v1/entries carries.
+// Kinds of responses to /v1/entries.
 const (
-	KindEntries = "entries" // the entries after Head.Since
-	KindState   = "state"   // a whole state, as record.Save wrote it
+	KindEntries = "entries" // the entries after Header.Since
+	KindState   = "state"   // a full state, as written by record.Save
 )
 
-// Bounds of an answer that is read.
+// Limits on a response that is read.
 const (
-	maxLineBytes         = 64 << 10 // bytes of its first and last line
+	maxLineBytes         = 64 << 10 // of the header and the trailer
 	DefaultMaxBatchBytes = 256 << 20
 	readBufferBytes      = 64 << 10
-	maxPathLength        = 64 // names of a path
+	maxPathLength        = 64 // names in a path
 )
 
-// ErrFormat is an answer in a form that only a newer program knows.
-var ErrFormat = errors.New("a newer format")
+// ErrFormat reports a response in a format that only a newer program can read.
+var ErrFormat = errors.New("newer format")
 
-// Header is the first line of an answer to /v1/entries.
+// Header is the first line of a response to /v1/entries.
 type Header struct {
 	Format  int            `json:"format"`
-	Cluster string         `json:"cluster"` // its id
+	Cluster string         `json:"cluster"` // cluster ID
 	Kind    string         `json:"kind"`
-	Since   record.Version `json:"since"`   // the entries follow it; of a state what was asked
-	Version record.Version `json:"version"` // that the answer leads to; older than Since where the source itself is behind
-	Hash    string         `json:"hash"`    // of Version's state
-	Path    []string       `json:"path"`    // names from a voter to the one that answers
-	Leader  bool           `json:"leader"`  // the one that answers leads
-	AgeMs   int64          `json:"age_ms"`  // how long ago, when this line was written, Version was surely the newest
-	// WaitedMs is how long the answer was held back. What the call took beyond it may all have passed since this line was
-	// written, so a follower adds that to AgeMs.
+	Since   record.Version `json:"since"`   // version before the first entry; for a state the requested one
+	Version record.Version `json:"version"` // version after the last entry; older than Since if the source is behind
+	Hash    string         `json:"hash"`    // of the state at Version
+	Path    []string       `json:"path"`    // names from a voter to the source
+	Leader  bool           `json:"leader"`  // whether the source is the leader
+	AgeMs   int64          `json:"age_ms"`  // how long before the header was written Version was certainly the newest
+	// WaitedMs is how long the response was held back. The rest of the call's duration may have passed after the header was
+	// written, so a follower adds it to AgeMs.
 	WaitedMs int64 `json:"waited_ms"`
-	Count    int   `json:"count"` // lines between the first and the last
+	Count    int   `json:"count"` // lines between the header and the trailer
 }
 
+// trailerLine is the last line of a response to /v1/entries.
 type trailerLine struct {
 	End  bool   `json:"end"`
 	Hash string `json:"hash"`
 }
 
-// Batch is a whole answer to /v1/entries: one that came to its end, or one that is to be written.
+// Batch is a complete response to /v1/entries, received or to be sent.
 type Batch struct {
 	Header
-	Entries    [][]byte // of KindEntries, as record.Encode made them
-	SavedState []byte   // of KindState, as record.Save wrote it
+	Entries    [][]byte // for KindEntries, as encoded by record.Encode
+	SavedState []byte   // for KindState, as written by record.Save
 }
 
-// State reads the state of a Batch of KindState.
+// State returns a reader of the state of a batch of KindState.
 func (b *Batch) State() io.Reader { return bytes.NewReader(b.SavedState) }
 
-// Bytes is how long the batch's lines are together, in bytes, without the first and the last.
+// Size returns the total length in bytes of the lines between the header and the trailer.
 func (b *Batch) Size() int {
 	n := len(b.SavedState)
 	for _, e := range b.Entries {
@@ -72,7 +73,7 @@
 	return n
 }
 
-// AppendHead appends the first line.
+// AppendHeader appends the first line.
 func (h *Header) AppendHeader(dst []byte) []byte {
 	line, err := json.Marshal(h)
 	if err != nil { // strings and numbers only
@@ -81,7 +82,7 @@
 	return append(append(dst, line...), '\n')
 }
 
-// AppendEnd appends the last line.
+// AppendTrailer appends the last line.
 func (h *Header) AppendTrailer(dst []byte) []byte {
 	line, err := json.Marshal(trailerLine{true, h.Hash})
 	if err != nil {
@@ -90,7 +91,7 @@
 	return append(append(dst, line...), '\n')
 }
 
-// Append appends the batch as it is sent and kept.
+// Append appends the batch in the form in which it is sent and stored.
 func (b *Batch) Append(dst []byte) []byte {
 	dst = b.AppendHeader(dst)
 	for _, e := range b.Entries {
@@ -99,8 +100,8 @@
 	return b.AppendTrailer(append(dst, b.SavedState...))
 }
 
-// ReadBatch reads a batch to its last line and to from's end. Whatever is missing, too much or over most bytes is an error,
-// and then there is no batch. It does not apply anything: whether the hash is right is seen by who does.
+// ReadBatch reads a batch up to the trailer and the end of src. Missing, excess or oversized data is an error. The hash is
+// only compared between header and trailer; whoever applies the batch verifies it.
 func ReadBatch(src io.Reader, maxBytes int64) (*Batch, error) {
 	r := bufio.NewReaderSize(&boundedReader{src, maxBytes + 2*maxLineBytes}, readBufferBytes)
 	line, err := readLine(r, nil, maxLineBytes)
@@ -131,17 +132,18 @@
 	}
 	var trailer trailerLine
 	if err := json.Unmarshal(line, &trailer); err != nil || !trailer.End {
-		return nil, fmt.Errorf("last line: %.80q is not one", line)
+		return nil, fmt.Errorf("last line: %.80q is not a trailer", line)
 	}
 	if trailer.Hash != b.Hash {
 		return nil, fmt.Errorf("last line: hash %.80q, first line %.80q", trailer.Hash, b.Hash)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		return nil, errors.New("more after the last line")
+		return nil, errors.New("data after the last line")
 	}
 	return b, nil
 }
 
+// validate checks the header for consistency.
 func (h *Header) validate() error {
 	switch {
 	case h.Format > Format:
@@ -151,18 +153,18 @@
 	case h.Kind != KindEntries && h.Kind != KindState:
 		return fmt.Errorf("kind %.40q", h.Kind)
 	case h.Count < 0 || h.AgeMs < 0 || h.WaitedMs < 0:
-		return errors.New("a negative count or age")
+		return errors.New("negative count or age")
 	case len(h.Path) == 0 || len(h.Path) > maxPathLength:
-		return fmt.Errorf("a path of %d names", len(h.Path))
+		return fmt.Errorf("path has %d names", len(h.Path))
 	case h.Kind == KindState && h.Count == 0:
-		return errors.New("a state of no lines")
+		return errors.New("state has no lines")
 	case h.Kind == KindEntries && h.Count != entriesBetween(h.Since, h.Version):
 		return fmt.Errorf("%d entries from %d to %d", h.Count, h.Since, h.Version)
 	}
 	return nil
 }
 
-// entriesBetween is how many entries lead from one version to another, 0 where the other is older.
+// entriesBetween returns the number of entries from one version to a later one, or 0 if it is not later.
 func entriesBetween(since, to record.Version) int {
 	if to <= since {
 		return 0
@@ -170,7 +172,7 @@
 	return int(to - since)
 }
 
-// readLine appends a line without its end to a slice.
+// readLine appends a line to dst, without its newline.
 func readLine(r *bufio.Reader, dst []byte, maxBytes int64) ([]byte, error) {
 	for {
 		part, err := r.ReadSlice('\n')
@@ -190,7 +192,7 @@
 	}
 }
 
-// bounded is a reader that fails after so many bytes, where io.LimitReader would look like the end.
+// boundedReader fails after a number of bytes, where io.LimitReader would report the end of the data.
 type boundedReader struct {
 	src       io.Reader
 	remaining int64
@@ -198,7 +200,7 @@
 
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
-		return 0, errors.New("the answer is too long")
+		return 0, errors.New("response is too long")
 	}
 	n, err := b.src.Read(p[:min(int64(len(p)), b.remaining)])
 	b.remaining -= int64(n)
--- a/internal/cluster/apitest/voter.go
+++ b/internal/cluster/apitest/voter.go
@@ -1,4 +1,4 @@
-// Package apitest has a member of a cluster for tests: a voter that agrees with itself.
+// Package apitest provides a fake cluster member for tests: a voter that commits its own writes.
 package apitest
 
 import (
@@ -18,23 +18,24 @@
 	"burlpass/internal/record"
 )
 
-// Cluster is the id of the cluster that a Voter is of, unless told otherwise.
+// Cluster is the default cluster ID of a Voter.
 const Cluster = "c-test"
 
-// Voter is a whole cluster in one member. Several with one State are its voters.
+// Voter acts as a complete cluster. Several voters that share one State act as its voters.
 type Voter struct {
 	Name     string
 	Cluster  string
 	State    *replica.Replica
 	IsLeader atomic.Bool
-	Age      atomic.Int64 // of the state, in ns
-	// Fails, where it is set, is what Write answers after it has, or has not, taken the write.
+	Age      atomic.Int64 // of the state, in nanoseconds
+	// Fails, if set, decides the outcome of Write: an error is returned after the write was applied or, if take is false,
+	// without applying it.
 	Fails func(w *record.Write) (take bool, err error)
-	// LeaseHook, where it is set, answers questions about leases.
+	// LeaseHook, if set, answers lease requests.
 	LeaseHook func(ask lease.Ask) (lease.Answer, error)
 }
 
-// NewVoter returns a leading voter with an empty state that keeps so many entries.
+// NewVoter returns a leading voter with an empty state that keeps up to the given number of entries.
 func NewVoter(name string, entries int) *Voter {
 	v := &Voter{Name: name, Cluster: Cluster, State: replica.New(record.New(record.Bounds{}, record.Orders()), entries, 0)}
 	v.IsLeader.Store(true)
@@ -62,14 +63,14 @@
 	return v.State.Apply(raw)
 }
 
-// Order is a write that disables a worker.
+// DisableOrder returns a write that disables a worker.
 func DisableOrder(id, worker string, base record.Version) *record.Write {
 	value, _ := json.Marshal(map[string]any{"do": record.Disable, "by": "test", "until_ms": 0})
 	return &record.Write{ID: id, By: "test", Base: base,
 		Changes: []record.Change{{Kind: record.OrderKind, Key: record.OfWorker + "/" + worker, Value: value}}}
 }
 
-// Add applies so many further writes and gives the version after them.
+// Add applies n further writes and returns the version after them.
 func (v *Voter) Add(t testing.TB, n int) record.Version {
 	t.Helper()
 	for range n {
@@ -81,7 +82,7 @@
 	return v.State.View().Version()
 }
 
-// Lease refuses, or has Leases answer.
+// Lease calls LeaseHook, or refuses if it is not set.
 func (v *Voter) Lease(_ context.Context, ask lease.Ask) (lease.Answer, error) {
 	if v.LeaseHook == nil {
 		return lease.Answer{}, fmt.Errorf("%w: no limits are divided", api.ErrRefused)
@@ -89,15 +90,15 @@
 	return v.LeaseHook(ask)
 }
 
-// Read gives the state.
+// Read returns the current state.
 func (v *Voter) Read(context.Context, bool) (record.View, time.Duration, error) {
 	return v.State.View(), time.Duration(v.Age.Load()), nil
 }
 
-// Replica gives the state.
+// Replica returns the replica of the state.
 func (v *Voter) Replica() *replica.Replica { return v.State }
 
-// Status is a voter's.
+// Status returns the status of a voter.
 func (v *Voter) Status() api.Status {
 	st := api.Status{Cluster: v.Cluster, Name: v.Name, Role: "voter", State: "follower", Path: []string{v.Name},
 		Version: uint64(v.State.View().Version()), Hash: v.State.View().Hash(), AgeMs: v.Age.Load() / int64(time.Millisecond)}
@@ -107,7 +108,7 @@
 	return st
 }
 
-// Handler serves the voter, with the read index that only voters have.
+// Handler serves the API and the read index, which only voters have.
 func (v *Voter) Handler(o api.Options) http.Handler {
 	mux := api.Handler(v, o)
 	mux.HandleFunc("GET /v1/readindex", func(w http.ResponseWriter, _ *http.Request) {
@@ -116,7 +117,7 @@
 	return mux
 }
 
-// Serve serves a handler on a loopback port until the test ends or stop is called, which breaks all connections.
+// Serve serves a handler on a loopback port until the test ends or stop is called, which closes all connections.
 func Serve(t testing.TB, h http.Handler) (addr string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,7 +128,7 @@
 	return ln.Addr().String(), stop
 }
 
-// ServeOn is Serve on a listener that is there.
+// ServeOn is like Serve with an existing listener.
 func ServeOn(t testing.TB, ln net.Listener, h http.Handler) (stop func()) {
 	server := api.NewServer(h)
 	done := make(chan struct{})
