--- a/internal/cluster/observer/disk.go
+++ b/internal/cluster/observer/disk.go
@@ -22,67 +22,68 @@
 	"burlpass/internal/record"
 )
 
-// Of the file with the state.
+// Names, format and limits of the state database.
 const (
 	databaseName       = "observer.db"
-	damagedName        = "observer.db.damaged" // one is kept
+	damagedName        = "observer.db.damaged" // only the last damaged file is kept
 	diskFormat         = 1
-	stateChunkBytes    = 256 << 10 // of a whole state in one value
-	minCompactionBytes = 1 << 20   // bytes of entries that are kept before the whole state is written anew
-	maxBatches         = 4096      // likewise
+	stateChunkBytes    = 256 << 10 // of a full state, stored as one value
+	minCompactionBytes = 1 << 20   // total entry size that is tolerated before the full state is rewritten
+	maxBatches         = 4096      // number of batches that is tolerated before the full state is rewritten
 	lockTimeout        = time.Second
 )
 
 var (
 	bucketMetadata = []byte("about")
-	bucketState    = []byte("state")   // chunks of record.Save, by number
-	bucketEntries  = []byte("entries") // batches as they were sent, by the version that they lead to
+	bucketState    = []byte("state")   // chunks of the output of record.Save by number
+	bucketEntries  = []byte("entries") // received batches by the version that they lead to
 	keyMetadata    = []byte("about")
 )
 
-// errDamaged is a file that gives back something else than was put there.
+// errDamaged reports that a file does not contain what was written to it.
 var errDamaged = errors.New("damaged")
 
-// identity is whom a folder belongs to.
+// identity identifies the owner of a folder.
 type identity struct {
-	Cluster string `json:"cluster"` // the configuration's name of it
-	Name    string `json:"name"`    // the member
+	Cluster string `json:"cluster"` // cluster name in the configuration
+	Name    string `json:"name"`    // member name
 }
 
-// about is what the file says of itself, written with every change.
+// metadata describes the database contents. It is rewritten with every change.
 type metadata struct {
 	Format int `json:"format"`
 	identity
-	ID      string         `json:"id"` // the cluster's
+	ID      string         `json:"id"` // cluster ID
 	Version record.Version `json:"version"`
 	Hash    string         `json:"hash"`
-	FreshMs int64          `json:"fresh_ms"` // Unix time at which Version was surely the newest
+	FreshMs int64          `json:"fresh_ms"` // Unix time at which Version was certainly the newest
 }
 
-// disk keeps the state that is shown: a whole one and the entries after it, in one bbolt file, each value with a checksum
-// over it and its key. Beside it stands the floor, so that a damaged file does not make the observer forget how far it was.
+// disk stores the served state in a bbolt file: a full state and the entries after it, each value with a checksum of key and
+// value. The watermark is a separate file, so that a damaged database does not make the observer forget which version it has
+// served.
 type disk struct {
 	folder    string
 	owner     identity
 	log       *slog.Logger
 	db        *bolt.DB
 	watermark *watermarkFile
-	failure   error // bbolt has failed in the middle of something: it may not be asked again
+	failure   error // set when bbolt failed during an operation; it must not be used again
 
-	stateBytes, entryBytes, batches int // bytes of the whole state, of the entries after it, and batches of these
+	stateBytes, entryBytes, batches int // size of the full state, size of the entries after it, and their number of batches
 }
 
-// kept is what a folder held.
+// storedState is what a folder contained.
 type storedState struct {
-	id         string // the cluster's; "" where none was known
+	id         string // the cluster's; "" where none was known // cluster ID; "" if unknown
 	watermark  record.Version
-	savedState []byte // nil: there is no state
+	savedState []byte // nil if there is no state
 	batches    []*api.Batch
 	metadata   metadata
 	freshAt    time.Time
 }
 
-// restore leads an empty replica to the state that was kept.
+// restore brings an empty replica to the stored state.
 func (k *storedState) restore(dst *replica.Replica) error {
 	if err := dst.Restore(bytes.NewReader(k.savedState)); err != nil {
 		return err
@@ -95,14 +96,14 @@
 		commit()
 	}
 	if v := dst.View(); v.Version() != k.metadata.Version || v.Hash() != k.metadata.Hash {
-		return fmt.Errorf("it leads to version %d, hash %s, and was said to be of version %d, hash %s",
+		return fmt.Errorf("stored entries lead to version %d, hash %s, want version %d, hash %s",
 			v.Version(), v.Hash(), k.metadata.Version, k.metadata.Hash)
 	}
 	return nil
 }
 
-// openDisk opens a folder, which is made if need be. Damage is no error: the file is put aside, the log says so, and there is no
-// state. The error is one line that names the place.
+// openDisk opens a folder and creates it if necessary. A damaged database is not an error: it is logged and moved aside, and
+// there is no stored state. The error is a single line that names the folder.
 func openDisk(folder string, owner identity, log *slog.Logger) (*disk, *storedState, error) {
 	fail := func(err error) (*disk, *storedState, error) {
 		return nil, nil, fmt.Errorf("cluster folder %s: %w", folder, err)
@@ -133,7 +134,7 @@
 	return d, stored, nil
 }
 
-// startAnew puts the file aside and begins an empty one.
+// recreate moves the database aside and creates an empty one.
 func (d *disk) recreate(cause error) error {
 	d.log.Error("cluster_disk", "folder", d.folder, "file", databaseName, "aside", damagedName, "error", cause, "shown", d.watermark.current.Version)
 	if d.db != nil && d.failure == nil {
@@ -141,20 +142,20 @@
 			d.log.Warn("cluster_disk", "folder", d.folder, "error", err)
 		}
 	}
-	d.db, d.failure = nil, nil // a file that failed in the middle of something stays open until the process ends
+	d.db, d.failure = nil, nil // a file that failed during an operation stays open until the process ends
 	if err := os.Rename(filepath.Join(d.folder, databaseName), filepath.Join(d.folder, damagedName)); err != nil {
 		return err
 	}
 	return recoverPanics(func() error { return d.open(&storedState{}) })
 }
 
-// read opens the file and reads all of it, then writes to it, so that what would fail later fails here.
+// open opens the database and reads all of it, then writes to it, so that faults show at the start.
 func (d *disk) open(stored *storedState) error {
 	db, err := bolt.Open(filepath.Join(d.folder, databaseName), 0o600, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType})
 	var path *fs.PathError
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
-		return errors.New("another process uses it")
+		return errors.New("another process is using it")
 	case errors.As(err, &path):
 		return err
 	case err != nil:
@@ -179,6 +180,7 @@
 	})
 }
 
+// load reads the metadata, the full state and the entries.
 func (d *disk) load(tx *bolt.Tx, stored *storedState) error {
 	raw, err := verifyChecksum(keyMetadata, tx.Bucket(bucketMetadata).Get(keyMetadata))
 	if err != nil {
@@ -188,7 +190,7 @@
 		return fmt.Errorf("about: %w: %w", errDamaged, err)
 	}
 	if stored.metadata.Format != diskFormat {
-		return fmt.Errorf("%s is of format %d, this program knows %d", databaseName, stored.metadata.Format, diskFormat)
+		return fmt.Errorf("%s has format %d, this program supports %d", databaseName, stored.metadata.Format, diskFormat)
 	}
 	if err := d.owner.check(stored.metadata.identity); err != nil {
 		return err
@@ -227,15 +229,15 @@
 	return nil
 }
 
-// check compares a folder's identity with one's own.
+// check returns an error if a folder belongs to another owner.
 func (i identity) check(found identity) error {
 	if found != i {
-		return fmt.Errorf("it belongs to member %q of cluster %q, and this is member %q of cluster %q", found.Name, found.Cluster, i.Name, i.Cluster)
+		return fmt.Errorf("it belongs to member %q of cluster %q, but this is member %q of cluster %q", found.Name, found.Cluster, i.Name, i.Cluster)
 	}
 	return nil
 }
 
-// add keeps the entries that follow what is there.
+// appendBatch stores the entries that follow the stored ones.
 func (d *disk) appendBatch(b *api.Batch, freshAt time.Time) error {
 	raw := b.Append(make([]byte, 0, b.Size()+1024))
 	err := d.commit(metadata{diskFormat, d.owner, b.Cluster, b.Version, b.Hash, freshAt.UnixMilli()}, func(tx *bolt.Tx) error {
@@ -251,12 +253,12 @@
 	return err
 }
 
-// wantsState tells whether the entries have become so many that the whole state should be written anew.
+// needsCompaction reports whether the full state should replace the stored entries.
 func (d *disk) needsCompaction() bool {
 	return d.entryBytes > max(minCompactionBytes, d.stateBytes) || d.batches > maxBatches
 }
 
-// replace keeps a whole state and nothing else.
+// replaceState stores a full state in place of the stored state and entries.
 func (d *disk) replaceState(v record.View, cluster string, freshAt time.Time) error {
 	var encoded bytes.Buffer
 	if err := record.Save(&encoded, v); err != nil {
@@ -287,7 +289,7 @@
 	return err
 }
 
-// change makes one change of the file that is there as a whole or not at all, and then raises the floor to it.
+// commit changes the database atomically and then advances the watermark to the new version.
 func (d *disk) commit(a metadata, f func(*bolt.Tx) error) error {
 	if d.failure != nil {
 		return d.failure
@@ -332,25 +334,26 @@
 	return err
 }
 
-// put stores a value after its checksum.
+// putChecksummed stores a value prefixed with its checksum.
 func putChecksummed(b *bolt.Bucket, key, value []byte) error {
 	return b.Put(key, append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), checksum(key, value)), value...))
 }
 
-// checked gives a value whose checksum is right.
+// verifyChecksum returns a stored value without its checksum, which must match.
 func verifyChecksum(key, stored []byte) ([]byte, error) {
 	if len(stored) < 4 || binary.BigEndian.Uint32(stored) != checksum(key, stored[4:]) {
-		return nil, fmt.Errorf("%w: a wrong checksum at key %x", errDamaged, key)
+		return nil, fmt.Errorf("%w: wrong checksum at key %x", errDamaged, key)
 	}
 	return stored[4:], nil
 }
 
+// checksum returns the CRC-32C of a key and its value.
 func checksum(key, value []byte) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
 	return crc32.Update(crc32.Checksum(key, table), table, value)
 }
 
-// guarded turns what bbolt does on a damaged file into an error: it panics, or reads where the file has ended.
+// recoverPanics converts the faults of bbolt on a damaged file to errors: it panics, or reads beyond the end of the file.
 func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/cluster/observer/floor.go
+++ b/internal/cluster/observer/floor.go
@@ -13,22 +13,22 @@
 	"burlpass/internal/record"
 )
 
-// The floor is a file of two slots, written in turn: what breaks while one is being written leaves the other, and what was
-// being written had not been shown.
+// The watermark file has two slots that are written in turn. A failed write leaves the other slot intact, and the version that
+// was being written has not been served yet.
 const (
 	watermarkName   = "shown"
 	slotBytes       = 1024
 	slotHeaderBytes = 6 // checksum and length
 )
 
-// shownAt says how far a member was. What is shown is never older.
+// watermark is the newest version that a member has served. It never serves an older one.
 type watermark struct {
 	identity
 	ID      string         `json:"id"`
 	Version record.Version `json:"version"`
 }
 
-// file is what the floor needs of an *os.File.
+// storage is the part of *os.File that a watermarkFile needs.
 type storage interface {
 	io.ReaderAt
 	io.WriterAt
@@ -37,14 +37,15 @@
 	Name() string
 }
 
+// watermarkFile stores the watermark.
 type watermarkFile struct {
 	file       storage
 	current    watermark
-	activeSlot int64 // that holds now
+	activeSlot int64 // holds current
 }
 
-// openFloor reads the file, or makes it. A file that cannot be read is told in the log and begun anew: how far the
-// member was is then known from its state, if that is there.
+// openWatermark opens the file and creates it if necessary. An unreadable file is logged and overwritten; the version is then
+// known from the stored state, if there is one.
 func openWatermark(folder string, owner identity, log *slog.Logger) (*watermarkFile, error) {
 	osFile, err := os.OpenFile(filepath.Join(folder, watermarkName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -58,6 +59,7 @@
 	return w, nil
 }
 
+// load reads the newer of the valid slots, or initializes the file if there is none.
 func (w *watermarkFile) load(owner identity, log *slog.Logger) error {
 	found, hasData := false, false
 	for slot := range int64(2) {
@@ -88,6 +90,7 @@
 	return folder.Sync()
 }
 
+// readSlot decodes a slot and reports whether it is valid.
 func readSlot(raw []byte) (mark watermark, ok bool) {
 	if len(raw) < slotHeaderBytes {
 		return mark, false
@@ -99,14 +102,14 @@
 	return mark, json.Unmarshal(raw[slotHeaderBytes:slotHeaderBytes+length], &mark) == nil
 }
 
-// raise writes how far the member is about to be. Once it returns, that outlives the machine.
+// advance stores the version that the member is about to serve. When it returns, the watermark survives a crash of the machine.
 func (w *watermarkFile) advance(target watermark) error {
 	body, err := json.Marshal(target)
 	if err != nil {
 		return err
 	}
 	if slotHeaderBytes+len(body) > slotBytes {
-		return fmt.Errorf("%s: names of %d bytes together are too long", w.file.Name(), len(body))
+		return fmt.Errorf("%s: watermark of %d bytes does not fit: names are too long", w.file.Name(), len(body))
 	}
 	raw := make([]byte, slotBytes)
 	binary.BigEndian.PutUint16(raw[4:], uint16(len(body)))
--- a/internal/cluster/observer/forward.go
+++ b/internal/cluster/observer/forward.go
@@ -10,8 +10,8 @@
 	"burlpass/internal/record"
 )
 
-// Write hands a write to the first member that answers: the configured ones in their order, then the source that is followed. Where
-// one leaves it unknown the others are asked under the same id, which the record makes safe, for as long as ctx lasts.
+// Write forwards a write to the first member that answers: the configured ones in order, then the current source. If a member
+// leaves the outcome unknown, the others are asked with the same ID until ctx ends; the record makes such retries safe.
 func (o *Observer) Write(ctx context.Context, w *record.Write) (record.Result, error) {
 	maybeApplied := false
 	for round := 0; ; round++ {
@@ -40,7 +40,7 @@
 	}
 }
 
-// members are those that a write may be handed to.
+// writeTargets returns the members that a write may be forwarded to.
 func (o *Observer) writeTargets() []Source {
 	targets := append([]Source(nil), o.config.Sources...)
 	o.mu.Lock()
@@ -56,7 +56,8 @@
 	return targets
 }
 
-// readConsistent asks a voter how new a state has to be that holds all that was acknowledged before, and waits until its own is.
+// readConsistent asks a voter for the version that contains all writes acknowledged so far, and waits for the local state to
+// reach it.
 func (o *Observer) readConsistent(ctx context.Context) (record.View, time.Duration, error) {
 	refused := func(err error) (record.View, time.Duration, error) {
 		return nil, 0, fmt.Errorf("%w: %v", api.ErrRefused, err)
@@ -68,7 +69,7 @@
 	select {
 	case <-o.ready:
 	case <-ctx.Done():
-		return refused(fmt.Errorf("%w: version %d is waited for", api.ErrNothing, minVersion))
+		return refused(fmt.Errorf("%w: waiting for version %d", api.ErrNothing, minVersion))
 	}
 	for {
 		changed := o.state.Changed()
@@ -83,11 +84,12 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return refused(fmt.Errorf("this member is at version %d, the leader was at %d", o.state.View().Version(), minVersion))
+			return refused(fmt.Errorf("this member is at version %d, the leader was at version %d", o.state.View().Version(), minVersion))
 		}
 	}
 }
 
+// readIndex asks the configured members in order for a read index.
 func (o *Observer) readIndex(ctx context.Context) (askedAt time.Time, minVersion record.Version, err error) {
 	for _, s := range o.config.Sources {
 		askedAt = time.Now()
@@ -101,7 +103,7 @@
 		case attemptErr != nil:
 			err = fmt.Errorf("%s: %w", s.Name, attemptErr)
 		case cluster != "" && ownCluster != "" && cluster != ownCluster:
-			err = fmt.Errorf("%s: it is of the cluster %q, this observer's is %q", s.Name, cluster, ownCluster)
+			err = fmt.Errorf("%s: it belongs to cluster %q, this observer to cluster %q", s.Name, cluster, ownCluster)
 		default:
 			return askedAt, minVersion, nil
 		}
--- a/internal/cluster/observer/lease.go
+++ b/internal/cluster/observer/lease.go
@@ -9,10 +9,10 @@
 	"burlpass/internal/lease"
 )
 
-// leaseAttempt is how long one member has to answer a question about leases.
+// leaseAttemptTimeout limits how long one member may take to answer a lease request.
 const leaseAttemptTimeout = 700 * time.Millisecond
 
-// Lease asks a configured member to have leases divided: the one that answered last, or the next one after it that does.
+// Lease forwards a lease request to the configured member that answered last, or to the next one that answers.
 func (o *Observer) Lease(ctx context.Context, ask lease.Ask) (a lease.Answer, err error) {
 	first := int(o.leaseSource.Load())
 	for i := range o.config.Sources {
--- a/internal/cluster/observer/look.go
+++ b/internal/cluster/observer/look.go
@@ -11,38 +11,38 @@
 	"burlpass/internal/cluster/api"
 )
 
-// Bounds of one round of looking for a source.
+// Limits of one search for a source.
 const (
-	maxTries        = 48 // members asked
-	maxDepth        = 16 // members asked because another named them, one after another
-	maxAlternatives = 4  // of those that a member names
-	penaltyTTL      = 10 * time.Second
-	maxPenalties    = 1024 // remembered as having failed
+	maxTries        = 48               // members asked
+	maxDepth        = 16               // length of a chain of members that name each other
+	maxAlternatives = 4                // of those named by a member that are asked
+	penaltyTTL      = 10 * time.Second // how long a failed member is ranked last
+	maxPenalties    = 1024             // failed members remembered
 )
 
 // candidate is a member that might be followed.
 type candidate struct {
 	Source
-	depth int // 0: configured
+	depth int // 0 if it is configured
 }
 
-// look asks members until one takes this observer in and is not cut off itself. The leader, whose work must not grow with
-// the fleet, comes when all else has failed. Where all are cut off it gives the one that was so last: another round may find
-// better. The error is why the last one was not it.
+// findSource asks members until one accepts this observer and is not cut off itself. The leader is the last resort, because its
+// load must not grow with the fleet. If all are cut off, the one with the freshest state is returned, since a later search may
+// find a better one. The error is why the last member did not qualify.
 func (o *Observer) findSource(ctx context.Context) (candidate, error) { return o.searchSource(ctx, "") }
 
-// search is look; from a leader that is followed it looks for another member alone, and takes none that is cut off. Those
-// that are configured come first, in an order of this observer's own, then those that they name.
+// searchSource implements findSource. If the observer follows a leader, it only looks for another member, and accepts none that
+// is cut off. Configured members come first, in an order specific to this observer, then those that they name.
 func (o *Observer) searchSource(ctx context.Context, leader string) (candidate, error) {
 	leavingLeader := leader != ""
 	asked := map[string]bool{o.config.Name: true, leader: true}
 	var queue, leaders []candidate
-	var freshestStale response // of those that are cut off
+	var freshestStale response // from members that are cut off
 	var staleSource candidate
 	for _, s := range o.rank(o.config.Sources, 0) {
 		queue = append(queue, candidate{s, 0})
 	}
-	err := errors.New("no source is left to ask")
+	err := errors.New("no source left to ask")
 	for tries := 0; ctx.Err() == nil; tries++ {
 		var next candidate
 		avoidLeader := len(queue) > 0 && tries < maxTries
@@ -63,7 +63,7 @@
 		var b response
 		b, err = o.requestEntries(ctx, next, 0, avoidLeader)
 		if err == nil && leavingLeader && o.isStale(b) {
-			err = errStale // nothing of it is shown, for the leader that is followed knows better
+			err = errStale // it is not applied: the leader has a newer state
 		}
 		if err == nil {
 			if err = o.accept(ctx, next.Source, b); err == nil && o.isStale(b) {
@@ -90,7 +90,7 @@
 			}
 		default:
 			o.penalize(next.Name)
-			if errors.Is(err, api.ErrFormat) && !o.formatLogged { // nobody is followed, so nobody is lost: it would not be told
+			if errors.Is(err, api.ErrFormat) && !o.formatLogged { // no source is lost here, so nothing else logs it
 				o.formatLogged = true
 				o.log.Error("cluster_state_refused", "source", next.Name, "shown", o.state.View().Version(), "why", err)
 			}
@@ -99,8 +99,8 @@
 	return candidate{}, ctx.Err()
 }
 
-// besides goes over from the leader to another member, if one takes this observer in: a configured one, or one that such a
-// member names. At a fleet's start those are often not ready yet.
+// leaveLeader switches from the leader to another member, configured or named by one, if any accepts this observer. When a fleet
+// starts, those members are often not ready yet.
 func (o *Observer) leaveLeader(ctx context.Context, leader candidate) (candidate, bool) {
 	next, err := o.searchSource(ctx, leader.Name)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return next, true
 }
 
-// order sorts members by rendezvous hashing, so that each observer has its own order and all of them together spread evenly;
-// those that have failed lately come last.
+// rank sorts members by rendezvous hashing, so that each observer has its own order and all observers together spread evenly.
+// Members that failed recently come last.
 func (o *Observer) rank(list []Source, salt uint64) []Source {
 	now := time.Now()
 	for name, at := range o.penalties {
@@ -131,6 +131,7 @@
 	return sorted
 }
 
+// penalize ranks a member last until penaltyTTL has passed.
 func (o *Observer) penalize(name string) {
 	if len(o.penalties) >= maxPenalties {
 		clear(o.penalties)
@@ -138,12 +139,12 @@
 	o.penalties[name] = time.Now()
 }
 
-// weight is the rendezvous hash of an observer and a source.
+// rendezvousWeight is the rendezvous hash of an observer and a source.
 func rendezvousWeight(own, source string, salt uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(own + "\x00" + source))
 	n := h.Sum64() ^ salt*0x9e3779b97f4a7c15
-	// FNV's last bytes hardly reach the upper bits; this is the finalizer of MurmurHash3.
+	// The last bytes barely affect the upper bits of FNV, so the result passes through the finalizer of MurmurHash3.
 	n = (n ^ n>>33) * 0xff51afd7ed558ccd
 	n = (n ^ n>>33) * 0xc4ceb9fe1a85ec53
 	return n ^ n>>33
--- a/internal/cluster/observer/observer.go
+++ b/internal/cluster/observer/observer.go
@@ -1,5 +1,5 @@
-// Package observer is a member of the cluster that has no vote: it follows a voter or another observer, shows the state that it
-// has, lets others follow it, and hands writes on to the voters. docs/cluster.md has the design.
+// Package observer implements a cluster member without a vote. It follows a voter or another observer, serves the replicated
+// state, can be followed itself and forwards writes to the voters. docs/cluster.md describes the design.
 package observer
 
 import (
@@ -17,21 +17,22 @@
 	"burlpass/internal/record"
 )
 
-// Source is a member that an observer may follow and hand writes to.
+// Source is a member that an observer may follow and forward writes to.
 type Source = api.Peer
 
-// Timings of an observer; zero values stand for the defaults.
+// Timings configures the timeouts and intervals of an observer. Zero values select the defaults.
 type Timings struct {
-	Wait           time.Duration // that a source may hold a call back; 2 s
-	SilenceTimeout time.Duration // beyond Wait after which a source counts as gone; 1 s
-	DialTimeout    time.Duration // for a connection; 500 ms
-	MaxStaleness   time.Duration // age, beyond one Wait a member of the path, at which another source is looked for; 5 s
+	Wait           time.Duration // how long a source may hold a call back; 2 s
+	SilenceTimeout time.Duration // time beyond Wait after which a silent source is given up; 1 s
+	DialTimeout    time.Duration // 500 ms
+	MaxStaleness   time.Duration // age, plus one Wait per member of the path, above which another source is sought; 5 s
 	AttemptTimeout time.Duration // for one member to answer a write or a read index; 3 s
-	LeaderRecheck  time.Duration // that the leader is followed before others are asked again; 30 s, less by up to a half
-	InitialBackoff time.Duration // the first; 50 ms
-	MaxBackoff     time.Duration // the longest; 2 s
+	LeaderRecheck  time.Duration // how long the leader is followed before other members are tried again; 30 s, reduced by up to half at random
+	InitialBackoff time.Duration // 50 ms
+	MaxBackoff     time.Duration // 2 s
 }
 
+// withDefaults replaces zero values by the defaults.
 func (t Timings) withDefaults() Timings {
 	for _, f := range []struct {
 		value    *time.Duration
@@ -47,72 +48,72 @@
 	return t
 }
 
-// gone is how long nothing may be heard before an observer says that it is cut off: long enough to find that its source is
-// silent and to be taken in by another one.
+// cutOffAfter is the silence after which an observer reports that it is cut off. It leaves time to detect that the source is
+// silent and to join another one.
 func (t Timings) cutOffAfter() time.Duration { return t.Wait + 2*t.SilenceTimeout }
 
-// Config of an observer.
+// Config configures an observer.
 type Config struct {
-	Cluster string   // the cluster's name in the configuration: a folder belongs to one
-	Name    string   // its own, which no other member has
-	Addr    string   // where others can follow it, host:port; "": nobody is told
-	Sources []Source // the configured ones, the voters
-	// Resolve gives the address to connect to; nil: the one that is named.
+	Cluster string   // cluster name in the configuration; a folder belongs to one cluster
+	Name    string   // unique among the members
+	Addr    string   // where others can follow it, host:port; "": nobody is told // where others can follow this observer, host:port; "" to advertise none
+	Sources []Source // configured members: the voters
+	// Resolve returns the address to connect to; nil uses the given one.
 	Resolve func(name, addr string) string
 
-	Folder  string // where what it shows outlives the process; "": nowhere
+	Folder  string // where what it shows outlives the process; "": nowhere // data folder that keeps the state across restarts; "" for none
 	Bounds  record.Bounds
 	Domains []record.Domain
-	Entries int // kept for followers, 0: the replica's defaults
+	Entries int // retained for followers; 0 means the default of the replica
 	Bytes   int
 
-	Via     http.RoundTripper // nil: connections of its own
+	Via     http.RoundTripper // nil: a new transport
 	Metrics *api.Metrics      // nil: none
 	Log     *slog.Logger      // nil: none
 	Timings Timings
 }
 
-// Observer is a running one. It is safe for concurrent use.
+// Observer is a running observer. It is safe for concurrent use.
 type Observer struct {
 	config       Config
 	timings      Timings
 	log          *slog.Logger
 	transport    http.RoundTripper
-	ownTransport *http.Transport // via, where nobody gave it
-	disk         *disk           // nil without a folder
+	ownTransport *http.Transport // set if the configuration has no transport
+	disk         *disk           // nil without a data folder
 	state        *replica.Replica
 
 	cancel      context.CancelFunc
 	done        chan struct{}
-	ready       chan struct{} // closed once there is a state to show
-	leaseSource atomic.Int32  // of c.Sources, the one that answered last about leases
-	cutOffTimer *time.Timer   // runs out when a cut-off is to be told
+	ready       chan struct{} // closed once there is a state to serve
+	leaseSource atomic.Int32  // index in config.Sources of the last one that answered a lease request
+	cutOffTimer *time.Timer   // fires when the observer is cut off
 
 	mu          sync.Mutex
-	watermark   record.Version // nothing older is shown
-	clusterID   string         // its id; "" while none is known
-	sourceName  string         // that is followed, "" while there is none
-	path        []string       // of the last answer that was taken, with the own name
-	sourceLeads bool           // the source led by its last answer
-	lastSource  Source         // the source followed last
-	freshAt     time.Time      // what is shown was surely the newest then; zero: not known
-	lastHeard   time.Time      // the last answer of a source that was followed
-	cutOff      bool           // told in the log
-	fault       string         // what the disk refuses
-	accepted    bool           // an answer has been taken since the start
-
-	// Of the goroutine that follows.
-	needFullState bool                 // the next state has to be a whole one
-	penalties     map[string]time.Time // sources that failed lately
-	salt          uint64               // of the choice among sources of sources
-	formatLogged  bool                 // a newer format has been logged since a source was followed last
+	watermark   record.Version // no older version is served
+	clusterID   string         // "" if unknown
+	sourceName  string         // current source; "" if there is none
+	path        []string       // of the last accepted response, ending with this observer
+	sourceLeads bool           // whether the source was the leader in its last response
+	lastSource  Source         // last source followed
+	freshAt     time.Time      // when the served state was certainly the newest; zero if unknown
+	lastHeard   time.Time      // time of the last response of a followed source
+	cutOff      bool           // whether the cut-off was logged
+	fault       string         // current disk error
+	accepted    bool           // whether a response has been accepted since the start
+
+	// Owned by the goroutine that follows sources.
+	needFullState bool                 // whether the next response must be a full state
+	penalties     map[string]time.Time // sources by the time of their last failure
+	salt          uint64               // varies the choice among alternatives
+	formatLogged  bool                 // whether a newer format was logged since a source was last followed
 }
 
-// Open starts an observer. The error is the folder's, in one line with its place: it cannot be used, belongs to another
-// cluster or another member, or is in use. The observer lives until Close, or until ctx ends.
+// Open starts an observer that runs until Close or until ctx ends. Unless a name or a source is missing, the error concerns the
+// data folder, in a single line that names it: it is unusable, in use, or belongs to another cluster or member.
 func Open(ctx context.Context, config Config) (*Observer, error) {
 	if config.Name == "" || len(config.Sources) == 0 {
-		return nil, errors.New("observer: a name and at least one source are needed")
+		return nil, errors.New("observer: a name and at least one source are required")
 	}
 	o := &Observer{config: config, timings: config.Timings.withDefaults(), log: config.Log, transport: config.Via, done: make(chan struct{}), ready: make(chan struct{}),
 		state: replica.New(record.New(config.Bounds, config.Domains...), config.Entries, config.Bytes), needFullState: true, penalties: map[string]time.Time{}}
@@ -137,7 +138,7 @@
 	return o, nil
 }
 
-// load takes over what the folder holds.
+// loadFolder restores the state in the data folder.
 func (o *Observer) loadFolder() error {
 	d, stored, err := openDisk(o.config.Folder, identity{o.config.Cluster, o.config.Name}, o.log)
 	if err != nil {
@@ -148,11 +149,11 @@
 		return nil
 	}
 	if err := stored.restore(o.state); err != nil {
-		// Every checksum was right: a state of another program, whose format or kinds are not known here.
+		// All checksums match, so the state comes from another program version with formats or kinds unknown to this one.
 		return d.recreate(err)
 	}
 	o.needFullState = false
-	// The clock that only runs on ends with a process; from one to the next there is the wall clock.
+	// The monotonic clock does not outlast the process, so the age across a restart relies on the wall clock.
 	o.freshAt = time.Now().Add(-max(0, time.Since(stored.freshAt)))
 	if o.state.View().Version() >= o.watermark {
 		close(o.ready)
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// Close ends the observer: it follows nobody from then on, and its folder is free. What it shows stays readable.
+// Close stops the observer and releases its data folder. The state remains readable.
 func (o *Observer) Close() error {
 	o.cancel()
 	<-o.done
@@ -183,7 +184,7 @@
 	}
 }
 
-// Replica is what followers are served from; nil while there is no state to show.
+// Replica returns the replica that followers are served from, or nil while there is no state to serve.
 func (o *Observer) Replica() *replica.Replica {
 	if !o.isReady() {
 		return nil
@@ -191,8 +192,8 @@
 	return o.state
 }
 
-// Read gives the state that is shown and its age, or with consistent one that is not older than any write acknowledged before
-// the call: api.Member has the errors.
+// Read returns the local state and its age. A consistent read returns a state that contains every write acknowledged before the
+// call. The errors are those of api.Member.
 func (o *Observer) Read(ctx context.Context, consistent bool) (record.View, time.Duration, error) {
 	if consistent {
 		return o.readConsistent(ctx)
@@ -203,10 +204,10 @@
 	o.mu.Lock()
 	freshAt := o.freshAt
 	o.mu.Unlock()
-	return o.state.View(), time.Since(freshAt), nil // the state may only be newer than the age
+	return o.state.View(), time.Since(freshAt), nil // the state is at least as new as the age claims
 }
 
-// Status is what the observer says of itself.
+// Status returns the status of the observer.
 func (o *Observer) Status() api.Status {
 	view, age, err := o.Read(context.Background(), false)
 	o.mu.Lock()
@@ -224,7 +225,7 @@
 	return st
 }
 
-// stateName is called under the lock.
+// stateName returns the value of Status.State. The caller must hold the lock.
 func (o *Observer) stateName() string {
 	switch {
 	case o.fault != "":
@@ -236,10 +237,10 @@
 	case time.Since(o.lastHeard) > o.timings.cutOffAfter():
 		return "cut_off"
 	}
-	return "following" // on the way from one source to the next
+	return "following" // switching sources
 }
 
-// tellCutOff is called when nothing has been heard for as long as a source may be silent.
+// reportCutOff records and logs that nothing was received for the time after which an observer counts as cut off.
 func (o *Observer) reportCutOff() {
 	o.mu.Lock()
 	o.cutOff = true
--- a/internal/cluster/observer/run.go
+++ b/internal/cluster/observer/run.go
@@ -13,20 +13,20 @@
 	"burlpass/internal/record"
 )
 
-// Why an answer is not taken.
+// Reasons to leave a source.
 var (
 	errLoop   = errors.New("the source follows this observer")
-	errStale  = errors.New("the source is cut off itself")
+	errStale  = errors.New("the source is cut off")
 	errBehind = errors.New("the source is behind")
 )
 
-// refusal is an answer that must not be taken: the source, the way to it, or the own state is wrong.
+// rejection wraps the reason why a response was rejected: the source, the network or the local state is wrong.
 type rejection struct{ err error }
 
 func (e *rejection) Error() string { return e.err.Error() }
 func (e *rejection) Unwrap() error { return e.err }
 
-// run looks for a source and follows it until that fails, over and over.
+// run finds and follows sources until ctx ends.
 func (o *Observer) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -42,19 +42,20 @@
 				failures = 0
 			}
 		} else {
-			o.salt++ // another round goes other ways
+			o.salt++ // the next search chooses other alternatives
 		}
-		if failures++; failures > 1 { // the first time at once
+		if failures++; failures > 1 { // the first failure is retried immediately
 			sleep(ctx, backoff(o.timings.InitialBackoff, o.timings.MaxBackoff, failures-2))
 		}
 	}
 }
 
-// backOff is a random time up to a bound that doubles with each failure.
+// backoff returns a random delay with an upper bound that doubles with each failure up to maxDelay.
 func backoff(first, maxDelay time.Duration, failures int) time.Duration {
 	return rand.N(min(maxDelay, first<<min(failures, 20)) + 1)
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -64,7 +65,7 @@
 	}
 }
 
-// follow asks a source again and again. It ends with the last one that it has followed and why that is over.
+// follow long-polls a source until it fails. It returns the source that it followed last and why it stopped.
 func (o *Observer) follow(ctx context.Context, from candidate) (candidate, error) {
 	lastRecheck := time.Now()
 	for {
@@ -88,6 +89,7 @@
 	}
 }
 
+// client returns a client of a source.
 func (o *Observer) client(s Source) *api.Client {
 	addr := s.Addr
 	if o.config.Resolve != nil {
@@ -96,30 +98,31 @@
 	return api.NewClient(addr, o.transport)
 }
 
-// answer is a batch and when it was there.
+// response is a batch and the time at which it was received.
 type response struct {
 	*api.Batch
 	receivedAt time.Time
 }
 
+// requestEntries asks a source for newer entries or, if needed, for a full state.
 func (o *Observer) requestEntries(ctx context.Context, from candidate, wait time.Duration, avoidLeader bool) (response, error) {
 	req := api.EntriesRequest{Since: o.state.View().Version(), Wait: wait, Name: o.config.Name, Addr: o.config.Addr, FullState: o.needFullState, AvoidLeader: avoidLeader,
 		SilenceTimeout: o.timings.SilenceTimeout}
 	if o.needFullState {
-		req.SilenceTimeout *= 5 // a whole state has to be made first
+		req.SilenceTimeout *= 5 // the source has to encode the full state first
 	}
 	b, err := o.client(from.Source).Entries(ctx, req)
 	return response{b, time.Now()}, err
 }
 
-// stale tells whether a source should be left because it is cut off itself. On the way from the leader each member may hold
-// news of nothing new back for one wait.
+// isStale reports whether a source should be left because it is cut off itself. Each member on the path from the leader may
+// hold back an empty response for one Wait.
 func (o *Observer) isStale(b response) bool {
 	return time.Duration(b.AgeMs)*time.Millisecond > o.timings.MaxStaleness+o.timings.Wait*time.Duration(len(b.Path))
 }
 
-// take checks an answer, stores and then shows what it brings. On a refusal the state stays, and another source is asked for
-// a whole one.
+// accept verifies a response, then stores and publishes its contents. A rejected response leaves the state unchanged and makes
+// the observer request a full state from another source.
 func (o *Observer) accept(ctx context.Context, from Source, b response) error {
 	if slices.Contains(b.Path, o.config.Name) {
 		return errLoop
@@ -133,6 +136,7 @@
 	return err
 }
 
+// apply verifies that a response belongs to this cluster and is not too old, and applies it.
 func (o *Observer) apply(ctx context.Context, b response) error {
 	o.mu.Lock()
 	clusterID, watermark := o.clusterID, o.watermark
@@ -140,11 +144,11 @@
 	current := o.state.View()
 	switch {
 	case b.Cluster == "" || clusterID != "" && clusterID != b.Cluster:
-		return &rejection{fmt.Errorf("it is of the cluster %q, this observer's is %q", b.Cluster, clusterID)}
+		return &rejection{fmt.Errorf("source belongs to cluster %q, this observer to cluster %q", b.Cluster, clusterID)}
 	case b.Kind == api.KindState && b.Version < max(watermark, current.Version()):
-		return &rejection{fmt.Errorf("version %d is older than %d, which was shown", b.Version, max(watermark, current.Version()))}
+		return &rejection{fmt.Errorf("version %d is older than the served version %d", b.Version, max(watermark, current.Version()))}
 	case b.Kind == api.KindEntries && o.needFullState:
-		return errBehind // it had no whole state that is new enough
+		return errBehind // the source has no full state that is new enough
 	}
 	if b.Kind == api.KindState {
 		if err := o.applyState(ctx, b); err != nil {
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// bringEntries goes on from the state that is there.
+// applyEntries applies the entries that follow the current state.
 func (o *Observer) applyEntries(ctx context.Context, b response, current record.View) error {
 	if len(b.Entries) == 0 {
 		if b.Version == current.Version() && b.Hash != current.Hash() {
@@ -180,14 +184,14 @@
 	return nil
 }
 
-// bringState puts a whole state in the place of the one that is there, once a record of its own has read all of it.
+// applyState replaces the current state by a full one, after a separate record has decoded and verified it.
 func (o *Observer) applyState(ctx context.Context, b response) error {
 	trial := record.New(o.config.Bounds, o.config.Domains...)
 	if err := trial.Restore(b.State()); err != nil {
 		return &rejection{err}
 	}
 	if v := trial.View(); v.Version() != b.Version || v.Hash() != b.Hash {
-		return &rejection{fmt.Errorf("it is of version %d, hash %s, and was said to be of version %d, hash %s", v.Version(), v.Hash(), b.Version, b.Hash)}
+		return &rejection{fmt.Errorf("full state has version %d, hash %s, want version %d, hash %s", v.Version(), v.Hash(), b.Version, b.Hash)}
 	}
 	if err := o.persist(ctx, func() error { return o.disk.replaceState(trial.View(), b.Cluster, o.freshnessOf(b)) }); err != nil {
 		return err
@@ -200,8 +204,8 @@
 	return nil
 }
 
-// store has the disk keep something, for as long as it takes: what is shown must be there after a restart. While the disk takes
-// nothing the observer shows what it showed, and its age grows.
+// persist retries a write to disk until it succeeds or ctx ends, because published state must survive a restart. Until then the
+// observer serves the previous state, with a growing age.
 func (o *Observer) persist(ctx context.Context, write func() error) error {
 	if o.disk == nil {
 		return nil
@@ -232,7 +236,7 @@
 	}
 }
 
-// mend begins the file anew with what is shown.
+// rebuildDisk recreates the database from the served state.
 func (o *Observer) rebuildDisk(cause error) error {
 	if err := o.disk.recreate(cause); err != nil || !o.isReady() {
 		return err
@@ -243,25 +247,26 @@
 	return o.disk.replaceState(o.state.View(), clusterID, freshAt)
 }
 
+// setClusterID records the cluster ID of an accepted response.
 func (o *Observer) setClusterID(clusterID string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.clusterID = clusterID
 }
 
-// freshAt is when an answer's version was surely the newest.
+// freshnessOf returns when the version of a response was certainly the newest.
 func (o *Observer) freshnessOf(b response) time.Time {
 	return b.receivedAt.Add(-time.Duration(b.AgeMs) * time.Millisecond)
 }
 
-// shown notes what an answer that was taken says.
+// recordAccepted updates path and freshness from an accepted response.
 func (o *Observer) recordAccepted(b response) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.path = append(slices.Clone(b.Path), o.config.Name)
 	current := o.state.View().Version()
-	// Whoever has at least the source's version knows all that the source knew then. What a start has taken from the wall clock
-	// may be wrong by any time, and counts no more.
+	// A state at least as new as the source's contains everything the source knew at that time. The freshness restored at the
+	// start relies on the wall clock, which may be wrong, so the first response replaces it.
 	if freshAt := o.freshnessOf(b); current >= b.Version && (!o.accepted || freshAt.After(o.freshAt)) {
 		o.freshAt = freshAt
 	}
@@ -271,7 +276,7 @@
 	}
 }
 
-// attached notes that a source is followed.
+// sourceFollowed records that a source is followed.
 func (o *Observer) sourceFollowed(s Source, b response) {
 	o.formatLogged = false
 	o.mu.Lock()
@@ -290,7 +295,7 @@
 	}
 }
 
-// lost notes that a source is followed no longer.
+// sourceLost records that a source is no longer followed.
 func (o *Observer) sourceLost(s Source, err error) {
 	o.mu.Lock()
 	previous := o.sourceName
