--- a/internal/cluster/api/api.go
+++ b/internal/cluster/api/api.go
@@ -57,12 +57,12 @@
 
 // Status is the status that a member reports about itself.
 type Status struct {
-	Cluster  string   `json:"cluster"` // its id, drawn when it was formed; "" before // cluster ID, generated when the cluster was formed; empty before
+	Cluster  string   `json:"cluster"` // cluster ID, generated when the cluster was formed; empty before
 	Name     string   `json:"name"`
 	Role     string   `json:"role"`     // voter or observer
 	State    string   `json:"state"`    // leader, follower, candidate, joining, forming, following, cut_off or failed
 	Identity string   `json:"identity"` // identity of a voter's disk
-	Leader   string   `json:"leader"`   // its name, "" where none is known // name of the leader; empty if unknown
+	Leader   string   `json:"leader"`   // name of the leader; empty if unknown
 	Version  uint64   `json:"version"`
 	Hash     string   `json:"hash"`
 	AgeMs    int64    `json:"age_ms"` // age of the served state; -1 if unknown or if there is none
--- a/internal/cluster/api/batches.go
+++ b/internal/cluster/api/batches.go
@@ -78,7 +78,9 @@
 
 // acquire waits up to stateSlotTimeout for a slot and returns a state that is not older than since. The caller must call
 // release after the transfer.
-func (s *stateCache) acquire(ctx context.Context, r *replica.Replica, since record.Version, freshAt time.Time) (state *encodedState, release func(), err error) {
+func (s *stateCache) acquire(ctx context.Context, r *replica.Replica, since record.Version, freshAt time.Time) (
+	state *encodedState, release func(), err error,
+) {
 	ctx, cancel := context.WithTimeout(ctx, stateSlotTimeout)
 	defer cancel()
 	select {
--- a/internal/cluster/api/entries_test.go
+++ b/internal/cluster/api/entries_test.go
@@ -15,6 +15,7 @@
 	"burlpass/internal/record"
 )
 
+// entriesRequest returns a request with a long silence timeout.
 func entriesRequest(since record.Version, wait time.Duration, name string) api.EntriesRequest {
 	return api.EntriesRequest{Since: since, Wait: wait, Name: name, SilenceTimeout: 10 * time.Second}
 }
@@ -24,7 +25,7 @@
 	c := newTestClient(t, v.Handler(api.Options{}))
 	b, err := c.Entries(t.Context(), entriesRequest(0, 0, "o1"))
 	if err != nil || b.Version != 0 || b.Count != 0 || b.Hash != v.State.View().Hash() || b.Path[0] != "a" || !b.Leader {
-		t.Fatalf("nothing new: %+v, %v", b, err)
+		t.Fatalf("empty response: %+v, %v", b, err)
 	}
 	got := make(chan *api.Batch)
 	go func() {
@@ -36,35 +37,35 @@
 	}()
 	v.Add(t, 1)
 	if b = <-got; b == nil || b.Kind != api.KindEntries || b.Version < 1 || len(b.Entries) == 0 {
-		t.Fatalf("the next entry: %+v", b)
+		t.Fatalf("next entry: %+v", b)
 	}
 	v.Add(t, 5)
 	for since, want := range map[record.Version]string{1: api.KindState, 2: api.KindEntries, 6: api.KindEntries} {
 		b, err := c.Entries(t.Context(), entriesRequest(since, 0, "o1"))
 		if err != nil || b.Kind != want || b.Version != 6 || b.Hash != v.State.View().Hash() {
-			t.Errorf("after %d: %+v, %v; kind %s is expected", since, b, err, want)
+			t.Errorf("after version %d: %+v, %v; want kind %s", since, b, err, want)
 			continue
 		}
 		if b.Kind == api.KindState {
 			m := record.New(record.Bounds{}, record.Orders())
 			if err := m.Restore(b.State()); err != nil || m.View().Hash() != b.Hash {
-				t.Errorf("the state: %v", err)
+				t.Errorf("restored state: %v", err)
 			}
 		}
 	}
-	// A source that is behind says so, and does not send what the follower cannot use.
+	// A source that is behind sends no entries and no state, which the follower could not use.
 	if b, err = c.Entries(t.Context(), entriesRequest(9, 0, "o1")); err != nil || b.Count != 0 || b.Version != 6 || b.Kind != api.KindEntries {
 		t.Errorf("ahead of the source: %+v, %v", b, err)
 	}
 	whole := entriesRequest(6, 0, "o1")
 	whole.FullState = true
 	if b, err = c.Entries(t.Context(), whole); err != nil || b.Kind != api.KindState || b.Version != 6 {
-		t.Errorf("whole: %+v, %v", b, err)
+		t.Errorf("full state: %+v, %v", b, err)
 	}
 	avoid := entriesRequest(6, 0, "o1")
 	avoid.AvoidLeader = true
 	if _, err = c.Entries(t.Context(), avoid); !errors.Is(err, api.ErrSourceIsLeader) {
-		t.Errorf("the leader was to be avoided: %v", err)
+		t.Errorf("leader did not refuse: %v", err)
 	}
 }
 
@@ -80,9 +81,9 @@
 	}
 	var full *api.AtCapacityError
 	if _, err := c.Entries(t.Context(), entriesRequest(0, 0, "o3")); !errors.As(err, &full) || len(full.Alternatives) != 1 || full.Alternatives[0] != (api.Peer{Name: "o1", Addr: "127.0.0.1:7"}) {
-		t.Errorf("a third follower: %v, %+v", err, full)
+		t.Errorf("third follower: %v, %+v", err, full)
 	}
-	// A second call under a name ends the first, so that a name has one place.
+	// A second call under a name ends the first one, so that a name has one slot.
 	long := make(chan error, 1)
 	go func() {
 		_, err := c.Entries(t.Context(), entriesRequest(0, time.Minute, "o2"))
@@ -95,7 +96,7 @@
 		select {
 		case err := <-long:
 			if ended = true; !errors.Is(err, api.ErrRefused) {
-				t.Errorf("the older call ended with %v", err)
+				t.Errorf("older call ended with %v", err)
 			}
 		default:
 		}
@@ -103,7 +104,7 @@
 	c = newTestClient(t, v.Handler(api.Options{Followers: 1, FollowerTTL: time.Nanosecond}))
 	for _, name := range []string{"o1", "o2"} {
 		if _, err := c.Entries(t.Context(), entriesRequest(0, 0, name)); err != nil {
-			t.Errorf("%s, after the place was given up: %v", name, err)
+			t.Errorf("%s, after the slot expired: %v", name, err)
 		}
 	}
 }
@@ -128,7 +129,7 @@
 		}
 		for n := range raw {
 			if _, err := api.ReadBatch(bytes.NewReader(raw[:n]), 1<<20); err == nil {
-				t.Fatalf("%s: cut after %d of %d bytes it was taken", b.Kind, n, len(raw))
+				t.Fatalf("%s: accepted after truncation to %d of %d bytes", b.Kind, n, len(raw))
 			}
 		}
 		for old, changed := range map[string]string{`"count":`: `"count":1`, `"format":1`: `"format":2`, `{"end":true`: `{"end":false`,
@@ -136,19 +137,19 @@
 			at := strings.LastIndex(string(raw), old)
 			text := string(raw[:at]) + changed + string(raw[at+len(old):])
 			if _, err := api.ReadBatch(strings.NewReader(text), 1<<20); err == nil {
-				t.Errorf("%s: taken with %s for %s", b.Kind, changed, old)
+				t.Errorf("%s: accepted with %s in place of %s", b.Kind, changed, old)
 			}
 		}
 		if _, err := api.ReadBatch(bytes.NewReader(append(raw, '\n')), 1<<20); err == nil {
-			t.Errorf("%s: taken with more after its end", b.Kind)
+			t.Errorf("%s: accepted with trailing data", b.Kind)
 		}
 		if _, err := api.ReadBatch(bytes.NewReader(raw), 100); err == nil {
-			t.Errorf("%s: taken over the bound", b.Kind)
+			t.Errorf("%s: accepted beyond the size limit", b.Kind)
 		}
 	}
 }
 
-// smallBuffers accepts connections that hold little of what is not read.
+// smallBufferListener accepts connections with a small write buffer.
 type smallBufferListener struct{ net.Listener }
 
 func (l smallBufferListener) Accept() (net.Conn, error) {
@@ -161,7 +162,7 @@
 
 func TestSlowFollowerIsDisconnected(t *testing.T) {
 	v := apitest.NewVoter("a", 1)
-	v.Add(t, 3000) // more than the sockets' buffers hold
+	v.Add(t, 3000) // exceeds the socket buffers
 	aborted := make(chan struct{}, 1)
 	h := v.Handler(api.Options{MaxStateTransfers: 1, RequestTimeout: 300 * time.Millisecond})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -188,10 +189,10 @@
 		t.Fatal(err)
 	}
 	first := make([]byte, 1)
-	if _, err := io.ReadFull(slow, first); err != nil { // the only slot is taken
+	if _, err := io.ReadFull(slow, first); err != nil { // the only state transfer slot is occupied
 		t.Fatal(err)
 	}
-	v.Add(t, 1) // nobody is held up by it
+	v.Add(t, 1) // the slow follower blocks no writes
 	c := newClientFor(t, addr)
 	whole := entriesRequest(0, 0, "o1")
 	whole.FullState = true
@@ -207,7 +208,7 @@
 	select {
 	case <-aborted:
 	default:
-		t.Error("the slow follower was sent all")
+		t.Error("the slow follower received the full response")
 	}
 }
 
--- a/internal/cluster/api/server.go
+++ b/internal/cluster/api/server.go
@@ -61,8 +61,10 @@
 // Handler serves the API of a member, except for the calls between voters, which a voter adds to the same mux.
 func Handler(member Member, options Options) *http.ServeMux {
 	options.Followers = orDefault(options.Followers, DefaultFollowers)
-	options.FollowerTTL, options.MaxStateTransfers = orDefault(options.FollowerTTL, DefaultFollowerTTL), orDefault(options.MaxStateTransfers, DefaultMaxStateTransfers)
-	options.MaxBodyBytes, options.RequestTimeout = orDefault(options.MaxBodyBytes, DefaultMaxBodyBytes), orDefault(options.RequestTimeout, DefaultRequestTimeout)
+	options.FollowerTTL, options.MaxStateTransfers = orDefault(options.FollowerTTL, DefaultFollowerTTL),
+		orDefault(options.MaxStateTransfers, DefaultMaxStateTransfers)
+	options.MaxBodyBytes, options.RequestTimeout = orDefault(options.MaxBodyBytes, DefaultMaxBodyBytes),
+		orDefault(options.RequestTimeout, DefaultRequestTimeout)
 	if options.Log == nil {
 		options.Log = logging.Discard()
 	}
--- a/internal/cluster/api/server_test.go
+++ b/internal/cluster/api/server_test.go
@@ -19,18 +19,19 @@
 	"burlpass/internal/record"
 )
 
-// A server's connection that ends over bytes not read sleeps half a second by itself.
+// The server delays closing a connection with unread data by half a second, which goleak would report.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-// client serves a handler and gives a client of it.
+// newTestClient serves a handler and returns a client for it.
 func newTestClient(t *testing.T, h http.Handler) *api.Client {
 	t.Helper()
 	addr, _ := apitest.Serve(t, h)
 	return newClientFor(t, addr)
 }
 
+// newClientFor returns a client for an address with its own transport.
 func newClientFor(t *testing.T, addr string) *api.Client {
 	transport := api.NewTransport(time.Second, nil)
 	t.Cleanup(transport.CloseIdleConnections)
@@ -41,41 +42,41 @@
 	v := apitest.NewVoter("a", 0)
 	var writeErr error
 	v.Fails = func(*record.Write) (bool, error) { return false, writeErr }
-	asked := newTestClient(t, v.Handler(api.Options{}))
+	c := newTestClient(t, v.Handler(api.Options{}))
 	writeErr = fmt.Errorf("%w: no leader", api.ErrRefused)
-	if _, err := asked.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) || !strings.Contains(err.Error(), "no leader") {
-		t.Errorf("a refusal came as %v", err)
+	if _, err := c.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) || !strings.Contains(err.Error(), "no leader") {
+		t.Errorf("refusal returned as %v", err)
 	}
 	for _, writeErr = range []error{api.ErrUnknown, errors.New("anything else"), context.DeadlineExceeded} {
-		if _, err := asked.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
-			t.Errorf("%v came as %v", writeErr, err)
+		if _, err := c.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
+			t.Errorf("%v returned as %v", writeErr, err)
 		}
 	}
 	writeErr = nil
-	r, err := asked.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0))
+	r, err := c.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0))
 	if err != nil || r.Outcome != record.Applied || r.Version != 1 {
-		t.Errorf("the result came as %+v, %v", r, err)
+		t.Errorf("result: %+v, %v", r, err)
 	}
-	if kept, ok, err := asked.Result(t.Context(), "x1"); err != nil || !ok || kept.Version != 1 {
-		t.Errorf("remembered: %+v, %v, %v", kept, ok, err)
+	if stored, ok, err := c.Result(t.Context(), "x1"); err != nil || !ok || stored.Version != 1 {
+		t.Errorf("stored result: %+v, %v, %v", stored, ok, err)
 	}
-	if _, ok, err := asked.Result(t.Context(), "x2"); ok || err != nil {
-		t.Errorf("a result of a write that never was: %v, %v", ok, err)
+	if _, ok, err := c.Result(t.Context(), "x2"); ok || err != nil {
+		t.Errorf("result of an unknown write: %v, %v", ok, err)
 	}
 
 	for name, h := range map[string]http.HandlerFunc{
-		"connection cut": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"answer cut": func(w http.ResponseWriter, _ *http.Request) {
+		"connection closed": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"truncated response": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, `{"id":"x1","outcome":"applied"`)
 		},
-		"no result": func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{}`) },
-		"another's": func(w http.ResponseWriter, _ *http.Request) {
+		"empty result": func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{}`) },
+		"result of another write": func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `{"id":"y","outcome":"applied"}`)
 		},
-		"a stranger's":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"a redirect":     func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/v1/status", http.StatusSeeOther) },
-		"a gate's error": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) },
+		"empty 503 response": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"redirect":           func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/v1/status", http.StatusSeeOther) },
+		"gateway error":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) },
 	} {
 		if _, err := newTestClient(t, h).Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrUnknown) {
 			t.Errorf("%s: %v", name, err)
@@ -89,7 +90,7 @@
 	closedAddr := l.Addr().String()
 	l.Close()
 	if _, err := newClientFor(t, closedAddr).Write(t.Context(), apitest.DisableOrder("x1", "w1", 0)); !errors.Is(err, api.ErrRefused) {
-		t.Errorf("where nobody listens: %v", err)
+		t.Errorf("nobody listening: %v", err)
 	}
 }
 
@@ -121,11 +122,11 @@
 		err = json.NewDecoder(resp.Body).Decode(&reply)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusBadRequest || !strings.Contains(reply.Invalid, c.want) {
-			t.Errorf("%s %s: status %d, %q, %v; %q is expected", c.call, c.body, resp.StatusCode, reply.Invalid, err, c.want)
+			t.Errorf("%s %s: status %d, %q, %v; want %q", c.call, c.body, resp.StatusCode, reply.Invalid, err, c.want)
 		}
 	}
 	if v.State.View().Version() != 0 {
-		t.Error("a malformed write was taken")
+		t.Error("a malformed write was applied")
 	}
 }
 
@@ -140,14 +141,14 @@
 	v.Add(t, 2)
 	all, err := c.Read(t.Context(), record.OrderKind, "", false)
 	if err != nil || len(all.Items) != 3 || all.Version != 3 || all.Hash != v.State.View().Hash() || all.AgeMs != 1500 {
-		t.Errorf("all: %+v, %v", all, err)
+		t.Errorf("all items: %+v, %v", all, err)
 	}
 	one, err := c.Read(t.Context(), record.OrderKind, "worker/w1", true)
 	if err != nil || len(one.Items) != 1 || one.Items[0].Key != "worker/w1" {
-		t.Errorf("one: %+v, %v", one, err)
+		t.Errorf("one item: %+v, %v", one, err)
 	}
 	if none, err := c.Read(t.Context(), record.OrderKind, "worker/w9", false); err != nil || len(none.Items) != 0 {
-		t.Errorf("none: %+v, %v", none, err)
+		t.Errorf("missing item: %+v, %v", none, err)
 	}
 	if st, err := c.Status(t.Context()); err != nil || st.Version != 3 || st.State != "leader" {
 		t.Errorf("status: %+v, %v", st, err)
@@ -165,7 +166,7 @@
 		`burlpass_cluster_member{role="voter",state="leader"} 1`, `burlpass_cluster_writes_total{outcome="applied"} 1`,
 		"burlpass_cluster_write_seconds_count 1\n", "burlpass_cluster_entries_served_total 3\n"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("no %q in the figures", want)
+			t.Errorf("no %q in the metrics", want)
 		}
 	}
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -35,7 +35,7 @@
 	Name   string // of the cluster
 	Member string // name of this process; it is a voter if Voters contains it
 	Listen string // cluster address, host:port
-	Folder string // "": an observer that keeps nothing // data folder; "" for an observer without persistent state
+	Folder string // data folder; "" for an observer without persistent state
 	Voters []Peer // in the same order at all members
 	Follow []Peer // further observers that may be followed
 	Rules  bool   // whether the record holds rules of teams; the same at all members since the cluster was formed
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -19,7 +19,7 @@
 	"burlpass/internal/rules"
 )
 
-// Rules are kinds of the record where the configuration says so, and unknown to it where not.
+// The record accepts the kinds of rules only if the configuration enables them.
 func TestRulesOnlyWhereConfigured(t *testing.T) {
 	first := &record.Write{ID: "first", By: "root"}
 	for _, c := range []struct {
@@ -58,7 +58,7 @@
 	}
 }
 
-// heard is the limits of a member of which none is full.
+// unlimited is a set of limits that never rejects a call.
 type unlimited struct{}
 
 func (unlimited) Set([]lease.Limit) {}
@@ -67,7 +67,7 @@
 }
 func (unlimited) Done(limits.Ticket) {}
 
-// A rule written at one member refuses calls at the others, and a dry run gives the answer that the write would have.
+// A rule written at one member rejects calls at all members, and a dry run predicts the outcome of a write.
 func TestRuleAppliesAtAllMembers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -114,7 +114,7 @@
 			return g.Enter(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{Caller: caller}}).Refusal == nil
 		}
 		if !enter("app") || enter("web") {
-			t.Errorf("member %d: the rule does not hold", i)
+			t.Errorf("member %d does not apply the rule", i)
 		}
 	}
 	post := func(m *Member, body string) string {
@@ -134,14 +134,14 @@
 		}
 	}
 	if _, ok := members[2].Replica().View().Get(rules.RuleKind, "*/*/*#callers#s"); ok {
-		t.Error("a dry run has written")
+		t.Error("the dry run changed the record")
 	}
 	if got := post(members[0], `{"id":"x","by":"root","base":0,"changes":[{"kind":"worker","key":"w"}]}`); !strings.HasPrefix(got, "400 ") {
 		t.Error(got)
 	}
 }
 
-// Where there are no rules a dry run says so.
+// A dry run reports that the cluster was formed without rules.
 func TestDryRunWithoutRules(t *testing.T) {
 	m, err := Open(context.Background(), Config{Name: "c", Member: "v", Listen: "127.0.0.1:0", Folder: t.TempDir(),
 		Voters: []Peer{{"v", "127.0.0.1:0"}}, Log: slog.New(slog.DiscardHandler)})
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	defer m.Close()
-	if _, err := m.Write(context.Background(), &record.Write{ID: "w", By: "b"}); err != nil { // there is a state then
+	if _, err := m.Write(context.Background(), &record.Write{ID: "w", By: "b"}); err != nil { // creates a state
 		t.Fatal(err)
 	}
 	got, err := post(m.Addr().String(), "/v1/dryrun", `{"id":"x","by":"root","base":0,"changes":[]}`)
@@ -158,7 +158,7 @@
 	}
 }
 
-// dialed posts to a member as any client does, and gives the status and the body.
+// post sends a body to a member over a new connection and returns the status and the response body.
 func post(addr, path, body string) (string, error) {
 	via := &http.Transport{DisableKeepAlives: true}
 	a, err := (&http.Client{Transport: via}).Post("http://"+addr+path, "application/json", strings.NewReader(body))
--- a/internal/cluster/frames/frames_test.go
+++ b/internal/cluster/frames/frames_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// pair gives both ends of a connection, of which the dialled one's bytes go through spoil.
+// connPair returns both ends of a connection; corrupt may alter the bytes that the dialed end writes.
 func connPair(t *testing.T, corrupt func([]byte)) (dialed, accepted net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -33,6 +33,7 @@
 	return dialed, accepted
 }
 
+// corruptingConn passes written data through corrupt.
 type corruptingConn struct {
 	net.Conn
 	corrupt func([]byte)
@@ -66,10 +67,10 @@
 		io.ReadFull(a, got)
 		echoed <- got
 	}()
-	// A read that is broken off takes nothing with it.
+	// A read that fails at its deadline must not lose data.
 	b.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := b.Read(make([]byte, 1)); err == nil {
-		t.Error("a read went on after its deadline")
+		t.Error("read succeeded after its deadline")
 	}
 	b.SetReadDeadline(time.Time{})
 	got := make([]byte, len(sent))
@@ -78,12 +79,12 @@
 	}
 	b.Write(got)
 	if !bytes.Equal(<-echoed, sent) {
-		t.Error("the way back differs")
+		t.Error("echoed data differs")
 	}
 }
 
-// TestEveryBit: whichever bit is turned, nobody reads what was not sent. A turned first byte makes a connection without frames,
-// whose first byte no HTTP request begins with.
+// A flipped bit must never deliver altered data. If it hits the first byte, the connection counts as plain, but starts with a
+// byte that no HTTP request begins with.
 func TestEveryBitFlipIsDetected(t *testing.T) {
 	const text = "GET /v1/read HTTP/1.1\r\n"
 	for bit := range 8 * (len(preface) + headerBytes + len(text)) {
@@ -91,7 +92,7 @@
 		if _, err := a.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		a.Close() // in order: what was written arrives
+		a.Close() // an orderly close: the written data still arrives
 		got, err := io.ReadAll(b)
 		if bit < 8 {
 			if len(got) < 2 || bytes.HasPrefix(got, []byte("G")) {
--- a/internal/cluster/observer/disk.go
+++ b/internal/cluster/observer/disk.go
@@ -75,7 +75,7 @@
 
 // storedState is what a folder contained.
 type storedState struct {
-	id         string // the cluster's; "" where none was known // cluster ID; "" if unknown
+	id         string // cluster ID; "" if unknown
 	watermark  record.Version
 	savedState []byte // nil if there is no state
 	batches    []*api.Batch
--- a/internal/cluster/observer/disk_test.go
+++ b/internal/cluster/observer/disk_test.go
@@ -26,16 +26,16 @@
 	c := Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: t.TempDir()}
 	o := openObserver(t, c)
 	waitForVersion(t, o, 3)
-	last := v.Add(t, 4) // a state, and entries after it
+	last := v.Add(t, 4) // stored as a full state followed by entries
 	waitForVersion(t, o, last)
 	if _, err := Open(t.Context(), o.config); err == nil || !strings.Contains(err.Error(), c.Folder) || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a second one in the same folder: %v", err)
+		t.Errorf("second observer in the same folder: %v", err)
 	}
 	if err := o.Close(); err != nil {
 		t.Fatal(err)
 	}
 
-	// An older one of the same cluster is all that is offered.
+	// The only source now has an older state of the same cluster.
 	older := apitest.NewVoter("a", 0)
 	older.Add(t, 2)
 	olderAddr, _ := apitest.Serve(t, older.Handler(api.Options{}))
@@ -45,9 +45,9 @@
 	if err != nil || view.Version() != last || view.Hash() != v.State.View().Hash() || age < 0 {
 		t.Fatalf("after the restart: %v, %v", view, err)
 	}
-	waitFor(t, "an answer", func() bool { return o.Status().State == "following" })
+	waitFor(t, "a response", func() bool { return o.Status().State == "following" })
 	if o.state.View().Version() != last {
-		t.Errorf("it went back to %d", o.state.View().Version())
+		t.Errorf("went back to version %d", o.state.View().Version())
 	}
 	if err := o.Close(); err != nil {
 		t.Fatal(err)
@@ -55,33 +55,33 @@
 
 	c.Name = "another"
 	if _, err := Open(t.Context(), o.config.withName(c)); err == nil || !strings.Contains(err.Error(), `belongs to member "o"`) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a foreign folder: %v", err)
+		t.Errorf("folder of another member: %v", err)
 	}
 	o.config.Folder = filepath.Join(c.Folder, databaseName)
 	if _, err := Open(t.Context(), o.config); err == nil || !strings.Contains(err.Error(), o.config.Folder) {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("file in place of a folder: %v", err)
 	}
 }
 
-// TestAgeAfterARestartIsTheSources has the wall clock say that the state was the newest just now, and a source that it is older.
+// After a restart the wall clock makes the stored state look new; the larger age reported by the source must win.
 func TestSourceAgeReplacesWallClockAgeAfterRestart(t *testing.T) {
 	folder, v := fillFolder(t)
 	v.Age.Store(int64(4 * time.Second))
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
 	o := openObserver(t, Config{Sources: []Source{{Name: "a", Addr: addr}}, Folder: folder})
-	waitFor(t, "an answer", func() bool { return o.Status().State == "following" })
+	waitFor(t, "a response", func() bool { return o.Status().State == "following" })
 	if age := o.Status().AgeMs; age < 4000 {
 		t.Errorf("an age of %d ms", age)
 	}
 }
 
-// with is the started configuration with another name.
+// withName returns the configuration with the name of another one.
 func (c Config) withName(other Config) Config {
 	c.Name = other.Name
 	return c
 }
 
-// filled makes a folder with a state and entries, of version 8.
+// fillFolder creates a folder with a full state and entries up to version 8.
 func fillFolder(t *testing.T) (folder string, v *apitest.Voter) {
 	t.Helper()
 	folder, v = t.TempDir(), apitest.NewVoter("a", 0)
@@ -136,7 +136,7 @@
 		}
 		defer d.close()
 		if stored.watermark != 8 {
-			t.Errorf("%s: the floor is %d", what, stored.watermark)
+			t.Errorf("%s: watermark is %d", what, stored.watermark)
 		}
 		state := replica.New(record.New(record.Bounds{}, record.Orders()), 0, 0)
 		if stored.savedState == nil {
@@ -144,7 +144,7 @@
 				t.Errorf("%s: %v", what, err)
 			}
 		} else if err := stored.restore(state); err != nil || state.View().Hash() != v.State.View().Hash() {
-			t.Errorf("%s: what was read is version %d: %v", what, state.View().Version(), err)
+			t.Errorf("%s: restored version %d: %v", what, state.View().Version(), err)
 		}
 	}
 	for name, raw := range intact {
@@ -199,23 +199,23 @@
 	older.Add(t, 7)
 	olderAddr, stop := apitest.Serve(t, older.Handler(api.Options{}))
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	var at atomic.Value
-	at.Store(olderAddr)
-	var asked atomic.Int64
+	var addrInUse atomic.Value
+	addrInUse.Store(olderAddr)
+	var resolved atomic.Int64
 	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string {
-		asked.Add(1)
-		return at.Load().(string)
+		resolved.Add(1)
+		return addrInUse.Load().(string)
 	}})
-	waitFor(t, "some tries", func() bool { return asked.Load() > 3 })
+	waitFor(t, "several attempts", func() bool { return resolved.Load() > 3 })
 	if view, _, err := o.Read(t.Context(), false); !errors.Is(err, api.ErrNothing) || o.Replica() != nil {
-		t.Errorf("it shows version %d where 8 had been shown: %v", view.Version(), err)
+		t.Errorf("serves version %d after version 8 was served: %v", view.Version(), err)
 	}
-	at.Store(addr)
+	addrInUse.Store(addr)
 	stop()
 	waitForVersion(t, o, 8)
 }
 
-// full is a file on a disk that takes nothing while it is full.
+// fullDiskFile fails writes as on a full disk while full is set.
 type fullDiskFile struct {
 	storage
 	full atomic.Bool
@@ -231,17 +231,17 @@
 func TestFullDiskPublishesNothing(t *testing.T) {
 	folder, v := fillFolder(t)
 	addr, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	var at atomic.Value
-	at.Store(unreachableAddr)
-	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string { return at.Load().(string) }})
+	var addrInUse atomic.Value
+	addrInUse.Store(unreachableAddr)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Folder: folder, Resolve: func(string, string) string { return addrInUse.Load().(string) }})
 	f := &fullDiskFile{storage: o.disk.watermark.file}
 	o.disk.watermark.file = f
 	f.full.Store(true)
 	last := v.Add(t, 2)
-	at.Store(addr)
-	waitFor(t, "the fault", func() bool { return o.Status().State == "failed" })
+	addrInUse.Store(addr)
+	waitFor(t, "a fault", func() bool { return o.Status().State == "failed" })
 	if st := o.Status(); o.state.View().Version() != 8 || !strings.Contains(st.Fault, "no space") || !strings.Contains(st.Fault, folder) {
-		t.Errorf("on a full disk: %+v", st)
+		t.Errorf("full disk: %+v", st)
 	}
 	f.full.Store(false)
 	waitForVersion(t, o, last)
@@ -255,7 +255,7 @@
 		t.Fatalf("%d batches, %v", len(k.batches), err)
 	}
 	if d.batches = maxBatches + 1; !d.needsCompaction() {
-		t.Error("it goes on with entries")
+		t.Error("no compaction beyond maxBatches")
 	}
 	if err := errors.Join(d.replaceState(v.State.View(), v.Cluster, time.Now()), d.close()); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/observer/fleet_test.go
+++ b/internal/cluster/observer/fleet_test.go
@@ -16,7 +16,7 @@
 	"burlpass/internal/record"
 )
 
-// counted accepts connections whose bytes are counted.
+// countingListener counts the bytes sent on accepted connections.
 type countingListener struct {
 	net.Listener
 	sent *atomic.Int64
@@ -38,22 +38,22 @@
 	return n, err
 }
 
-// BenchmarkFleet has a root write ten times a second and observers follow it, all in this process over loopback. It tells
-// how long a write takes from the root's state to the observers', and what the root does for it. docs/cluster.md has the figures.
+// BenchmarkFleet measures observers that follow a root with ten writes per second, all in this process over loopback: the delay
+// of a write from the root to the observers, and the load on the root. docs/cluster.md has the results.
 func BenchmarkFleet(b *testing.B) {
 	const writes, interval = 100, 100 * time.Millisecond
 	for _, c := range []struct {
-		n, places int
-		disk      bool
+		n, capacity int
+		disk        bool
 	}{{10, 32, false}, {100, 32, false}, {300, 32, false}, {1000, 32, false}, {100, 1000, false}, {300, 1000, false}, {1000, 1000, false}, {30, 32, true}} {
-		b.Run(fmt.Sprintf("n=%d/places=%d/disk=%v", c.n, c.places, c.disk), func(b *testing.B) {
+		b.Run(fmt.Sprintf("n=%d/places=%d/disk=%v", c.n, c.capacity, c.disk), func(b *testing.B) {
 			root := apitest.NewVoter("root", 0)
 			var sent, calls atomic.Int64
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
-			h := root.Handler(api.Options{Followers: c.places})
+			h := root.Handler(api.Options{Followers: c.capacity})
 			apitest.ServeOn(b, countingListener{l, &sent}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
 				h.ServeHTTP(w, r)
--- a/internal/cluster/observer/look.go
+++ b/internal/cluster/observer/look.go
@@ -126,7 +126,8 @@
 	}
 	sorted := slices.Clone(list)
 	slices.SortStableFunc(sorted, func(a, b Source) int {
-		return cmp.Or(cmp.Compare(failed(a), failed(b)), cmp.Compare(rendezvousWeight(o.config.Name, b.Name, salt), rendezvousWeight(o.config.Name, a.Name, salt)))
+		return cmp.Or(cmp.Compare(failed(a), failed(b)),
+			cmp.Compare(rendezvousWeight(o.config.Name, b.Name, salt), rendezvousWeight(o.config.Name, a.Name, salt)))
 	})
 	return sorted
 }
--- a/internal/cluster/observer/observer.go
+++ b/internal/cluster/observer/observer.go
@@ -38,8 +38,9 @@
 		value    *time.Duration
 		fallback time.Duration
 	}{
-		{&t.Wait, 2 * time.Second}, {&t.SilenceTimeout, time.Second}, {&t.DialTimeout, 500 * time.Millisecond}, {&t.MaxStaleness, 5 * time.Second},
-		{&t.AttemptTimeout, 3 * time.Second}, {&t.LeaderRecheck, 30 * time.Second}, {&t.InitialBackoff, 50 * time.Millisecond}, {&t.MaxBackoff, 2 * time.Second},
+		{&t.Wait, 2 * time.Second}, {&t.SilenceTimeout, time.Second}, {&t.DialTimeout, 500 * time.Millisecond},
+		{&t.MaxStaleness, 5 * time.Second}, {&t.AttemptTimeout, 3 * time.Second},
+		{&t.LeaderRecheck, 30 * time.Second}, {&t.InitialBackoff, 50 * time.Millisecond}, {&t.MaxBackoff, 2 * time.Second},
 	} {
 		if *f.value <= 0 {
 			*f.value = f.fallback
@@ -56,12 +57,12 @@
 type Config struct {
 	Cluster string   // cluster name in the configuration; a folder belongs to one cluster
 	Name    string   // unique among the members
-	Addr    string   // where others can follow it, host:port; "": nobody is told // where others can follow this observer, host:port; "" to advertise none
+	Addr    string   // where others can follow this observer, host:port; "" to advertise none
 	Sources []Source // configured members: the voters
 	// Resolve returns the address to connect to; nil uses the given one.
 	Resolve func(name, addr string) string
 
-	Folder  string // where what it shows outlives the process; "": nowhere // data folder that keeps the state across restarts; "" for none
+	Folder  string // data folder that keeps the state across restarts; "" for none
 	Bounds  record.Bounds
 	Domains []record.Domain
 	Entries int // retained for followers; 0 means the default of the replica
@@ -115,8 +116,10 @@
 	if config.Name == "" || len(config.Sources) == 0 {
 		return nil, errors.New("observer: a name and at least one source are required")
 	}
-	o := &Observer{config: config, timings: config.Timings.withDefaults(), log: config.Log, transport: config.Via, done: make(chan struct{}), ready: make(chan struct{}),
-		state: replica.New(record.New(config.Bounds, config.Domains...), config.Entries, config.Bytes), needFullState: true, penalties: map[string]time.Time{}}
+	o := &Observer{config: config, timings: config.Timings.withDefaults(), log: config.Log, transport: config.Via,
+		done: make(chan struct{}), ready: make(chan struct{}),
+		state:         replica.New(record.New(config.Bounds, config.Domains...), config.Entries, config.Bytes),
+		needFullState: true, penalties: map[string]time.Time{}}
 	if o.log == nil {
 		o.log = logging.Discard()
 	}
--- a/internal/cluster/observer/observer_test.go
+++ b/internal/cluster/observer/observer_test.go
@@ -21,14 +21,14 @@
 	"burlpass/internal/record"
 )
 
-// A server's connection that ends over bytes not read sleeps half a second by itself.
+// The server delays closing a connection with unread data by half a second, which goleak would report.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
-const unreachableAddr = "127.0.0.1:1" // nobody listens there
+const unreachableAddr = "127.0.0.1:1" // no listener
 
-// lines is a log that can be searched while it is written.
+// logBuffer is a log that can be searched while it is written.
 type logBuffer struct {
 	mu  sync.Mutex
 	all bytes.Buffer
@@ -46,6 +46,7 @@
 	return strings.Count(l.all.String(), "msg="+event+" ")
 }
 
+// openObserver opens an observer with short timings that is closed when the test ends.
 func openObserver(t testing.TB, c Config) *Observer {
 	t.Helper()
 	if c.Cluster, c.Domains = "test", []record.Domain{record.Orders()}; c.Name == "" {
@@ -62,22 +63,23 @@
 	return o
 }
 
-// until waits for something that comes by itself.
+// waitFor polls until a condition holds.
 func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it did not come: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
+// waitForVersion waits until an observer serves at least a version.
 func waitForVersion(t testing.TB, o *Observer, v record.Version) {
 	t.Helper()
 	waitFor(t, o.config.Name+" at version "+strconv.Itoa(int(v)), func() bool { return o.Replica() != nil && o.state.View().Version() >= v })
 }
 
-// fleet starts observers that can be followed, each with so many places.
+// startObservers starts n observers that accept up to capacity followers each.
 func startObservers(t *testing.T, n, capacity int, sources ...Source) []*Observer {
 	t.Helper()
 	var all []*Observer
@@ -87,7 +89,7 @@
 	return all
 }
 
-// join starts one of them.
+// startFollowable starts one such observer.
 func startFollowable(t *testing.T, name string, capacity int, sources ...Source) *Observer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,47 +103,47 @@
 
 func TestObserversFormTree(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		n, places, deeper int
+		name                  string
+		n, capacity, minDepth int
 	}{{"tree", 40, 4, 3}, {"chain", 8, 1, 8}} {
 		t.Run(c.name, func(t *testing.T) {
 			v := apitest.NewVoter("a", 0)
 			v.Add(t, 3)
-			addr, _ := apitest.Serve(t, v.Handler(api.Options{Followers: c.places}))
-			all := startObservers(t, c.n, c.places, Source{Name: "a", Addr: addr})
+			addr, _ := apitest.Serve(t, v.Handler(api.Options{Followers: c.capacity}))
+			all := startObservers(t, c.n, c.capacity, Source{Name: "a", Addr: addr})
 			for _, o := range all {
 				waitForVersion(t, o, 3)
 			}
 			last := v.Add(t, 5)
-			children, deepest := map[string]int{}, 0
+			followerCounts, deepest := map[string]int{}, 0
 			for _, o := range all {
 				waitForVersion(t, o, last)
 				if o.state.View().Hash() != v.State.View().Hash() {
-					t.Errorf("%s has another state", o.config.Name)
+					t.Errorf("%s has a different state", o.config.Name)
 				}
 				waitFor(t, o.config.Name+" follows", func() bool { return o.Status().State == "following" })
 				path := o.Status().Path
-				children[path[len(path)-2]]++
+				followerCounts[path[len(path)-2]]++
 				deepest = max(deepest, len(path)-1)
 				if sorted := slices.Sorted(slices.Values(path)); path[0] != "a" || path[len(path)-1] != o.config.Name || len(slices.Compact(sorted)) != len(path) {
 					t.Errorf("%s: path %v", o.config.Name, path)
 				}
 			}
-			for name, n := range children {
-				if n > c.places {
+			for name, n := range followerCounts {
+				if n > c.capacity {
 					t.Errorf("%s has %d followers", name, n)
 				}
 			}
-			if deepest < c.deeper {
-				t.Errorf("the deepest is %d from the root, %d at least is expected", deepest, c.deeper)
+			if deepest < c.minDepth {
+				t.Errorf("maximum depth is %d, want at least %d", deepest, c.minDepth)
 			}
 		})
 	}
 }
 
 func TestFailoverToAnotherSource(t *testing.T) {
-	for _, how := range []string{"killed", "silent", "stale"} {
-		t.Run(how, func(t *testing.T) {
+	for _, failure := range []string{"killed", "silent", "stale"} {
+		t.Run(failure, func(t *testing.T) {
 			a := apitest.NewVoter("a", 0)
 			b := &apitest.Voter{Name: "b", Cluster: a.Cluster, State: a.State}
 			a.IsLeader.Store(false)
@@ -165,7 +167,7 @@
 			waitForVersion(t, o, 0)
 			waitFor(t, "following", func() bool { return o.Status().State == "following" })
 			source := o.Status().Path[0]
-			switch how {
+			switch failure {
 			case "killed":
 				stops[source]()
 			case "silent":
@@ -207,26 +209,26 @@
 	addrB, stopB := apitest.Serve(t, b.Handler(api.Options{Followers: 3}))
 	sources := []Source{{Name: "a", Addr: addrA}, {Name: "b", Addr: addrB}}
 	first := openObserver(t, Config{Sources: sources, Timings: Timings{Wait: 100 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, LeaderRecheck: time.Millisecond}})
-	waitForVersion(t, first, 0) // it has one of the follower's three places: else whom it follows decides when it is left
-	for i := range 6 {          // one after another: TestLeaderIsLeftForWhoWasNotReady has what else may happen
+	waitForVersion(t, first, 0) // it occupies one of the follower's three slots; otherwise its own source would decide when it leaves the leader
+	for i := range 6 {          // one at a time; TestLeavesLeaderOnceFollowerIsReady covers concurrent starts
 		o := startFollowable(t, "o"+strconv.Itoa(i), 3, sources...)
 		waitForVersion(t, o, 0)
 		if path := o.Status().Path; path[0] != "b" {
-			t.Errorf("%s has the path %v past the leader's follower", o.config.Name, path)
+			t.Errorf("%s has path %v, which bypasses the follower of the leader", o.config.Name, path)
 		}
 	}
 	stopB()
-	waitFor(t, "the leader is followed", func() bool { return first.Status().Path[0] == "a" })
+	waitFor(t, "the leader to be followed", func() bool { return first.Status().Path[0] == "a" })
 	l, err := net.Listen("tcp", addrB)
 	if err != nil {
 		t.Fatal(err)
 	}
 	apitest.ServeOn(t, l, b.Handler(api.Options{}))
-	waitFor(t, "the leader is left again", func() bool { return first.Status().Path[0] == "b" })
+	waitFor(t, "the leader to be left", func() bool { return first.Status().Path[0] == "b" })
 }
 
-// TestLeaderIsLeftForWhoWasNotReady has an observer ask while its only other source is full and the follower that this one names
-// answers nothing yet, as at a fleet's start: it follows the leader, and leaves it once that follower answers.
+// When a fleet starts, an observer may find its only other source full and the follower that this source names not ready. It then
+// follows the leader and must leave it once that follower answers.
 func TestLeavesLeaderOnceFollowerIsReady(t *testing.T) {
 	a := apitest.NewVoter("a", 0)
 	b := &apitest.Voter{Name: "b", Cluster: a.Cluster, State: a.State}
@@ -251,10 +253,10 @@
 		Timings: Timings{Wait: 20 * time.Millisecond, SilenceTimeout: 500 * time.Millisecond, LeaderRecheck: time.Millisecond}})
 	waitForVersion(t, o, 0)
 	if path := o.Status().Path; !slices.Equal(path, []string{"a", "o"}) {
-		t.Fatalf("the path is %v, past the leader is expected", path)
+		t.Fatalf("path is %v, want one through the leader", path)
 	}
 	ready.Store(true)
-	waitFor(t, "the leader is left", func() bool { return slices.Equal(o.Status().Path, []string{"b", "follower", "o"}) })
+	waitFor(t, "the leader to be left", func() bool { return slices.Equal(o.Status().Path, []string{"b", "follower", "o"}) })
 }
 
 func TestCutOffObserverServesStateWithAge(t *testing.T) {
@@ -272,10 +274,10 @@
 	stop()
 	stopped := time.Now()
 	waitFor(t, "cut off", func() bool { return o.Status().State == "cut_off" })
-	waitFor(t, "the log line", func() bool { return log.count("cluster_cut_off") == 1 })
+	waitFor(t, "a cluster_cut_off event", func() bool { return log.count("cluster_cut_off") == 1 })
 	view, age, err := o.Read(t.Context(), false)
 	if err != nil || view.Version() != 3 || age < time.Since(stopped)/2 {
-		t.Errorf("cut off it shows %v, age %v", err, age)
+		t.Errorf("while cut off: %v, age %v", err, age)
 	}
 	if _, _, err := o.Read(t.Context(), true); !errors.Is(err, api.ErrRefused) {
 		t.Errorf("a consistent read: %v", err)
@@ -287,9 +289,9 @@
 	apitest.ServeOn(t, l, v.Handler(api.Options{}))
 	waitForVersion(t, o, last)
 	waitFor(t, "following", func() bool { return o.Status().State == "following" })
-	waitFor(t, "the second line of following", func() bool { return log.count("cluster_following") == 2 })
+	waitFor(t, "a second cluster_following event", func() bool { return log.count("cluster_following") == 2 })
 	if _, age, _ := o.Read(t.Context(), false); age > time.Since(stopped) {
-		t.Errorf("age %v after it was found again", age)
+		t.Errorf("age %v after reconnecting", age)
 	}
 }
 
@@ -303,11 +305,11 @@
 	a.Fails = func(*record.Write) (bool, error) { return true, api.ErrUnknown }
 	r, err := o.Write(t.Context(), apitest.DisableOrder("x1", "w1", 0))
 	if err != nil || r.Outcome != record.Applied || r.Version != 1 || !r.Again {
-		t.Errorf("taken at one, unknown there, asked again at the next: %+v, %v", r, err)
+		t.Errorf("applied with unknown outcome, then retried at the next member: %+v, %v", r, err)
 	}
 	a.Fails = func(*record.Write) (bool, error) { return false, api.ErrRefused }
 	if r, err = o.Write(t.Context(), apitest.DisableOrder("x2", "w2", 1)); err != nil || r.Again || r.Outcome != record.Applied {
-		t.Errorf("refused at one, taken at the next: %+v, %v", r, err)
+		t.Errorf("refused by one member, applied by the next: %+v, %v", r, err)
 	}
 	last := a.Add(t, 3)
 	if view, _, err := o.Read(t.Context(), true); err != nil || view.Version() < last {
@@ -318,13 +320,13 @@
 		t.Errorf("refused by all: %v", err)
 	}
 	if o.state.View().Version() != last {
-		t.Error("a refused write was taken")
+		t.Error("a refused write was applied")
 	}
 	stopA()
 	b.Fails = func(*record.Write) (bool, error) { return false, api.ErrUnknown }
 	ctx, cancel := contextWithTimeout(t, 200*time.Millisecond)
 	defer cancel()
 	if _, err = o.Write(ctx, apitest.DisableOrder("x4", "w4", last)); !errors.Is(err, api.ErrUnknown) {
-		t.Errorf("unknown for as long as it was asked: %v", err)
+		t.Errorf("outcome unknown until the deadline: %v", err)
 	}
 }
--- a/internal/cluster/observer/refuse_test.go
+++ b/internal/cluster/observer/refuse_test.go
@@ -21,23 +21,23 @@
 	return context.WithTimeout(t.Context(), d)
 }
 
-// mangled serves what another handler answers to /v1/entries after it has been changed, and counts that.
+// mangleEntries alters the successful responses of a handler and counts them.
 func mangleEntries(h http.Handler, change func([]byte) []byte, served *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		rec := httptest.NewRecorder()
-		h.ServeHTTP(rec, r)
-		raw := rec.Body.Bytes()
-		if rec.Code == http.StatusOK {
+		recorder := httptest.NewRecorder()
+		h.ServeHTTP(recorder, r)
+		raw := recorder.Body.Bytes()
+		if recorder.Code == http.StatusOK {
 			raw = change(raw)
 			defer served.Add(1)
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-		w.WriteHeader(rec.Code)
+		w.WriteHeader(recorder.Code)
 		_, _ = w.Write(raw)
 	})
 }
 
-// stateOf is an answer with the whole state of a voter, whose head claims a version.
+// fullStateOf returns a response with the full state of a voter and a header that claims a version.
 func fullStateOf(t *testing.T, v *apitest.Voter, claimedVersion record.Version) []byte {
 	t.Helper()
 	var saved bytes.Buffer
@@ -61,16 +61,16 @@
 		change func([]byte) []byte
 		logged bool
 	}{
-		{"cut in the middle", func(raw []byte) []byte { return raw[:len(raw)/2] }, false},
-		{"without its last line", func(raw []byte) []byte { return raw[:bytes.LastIndexByte(raw[:len(raw)-1], '\n')+1] }, false},
+		{"truncated in the middle", func(raw []byte) []byte { return raw[:len(raw)/2] }, false},
+		{"without the trailer", func(raw []byte) []byte { return raw[:bytes.LastIndexByte(raw[:len(raw)-1], '\n')+1] }, false},
 		{"a newer format", replaceAll(`"format":1`, `"format":2`), true},
-		{"a hash of its own", replaceAll(`"hash":"`, `"hash":"0`), true},
-		{"another worker in an entry", replaceAll("worker/w6", "worker/w7"), true},
+		{"wrong hash", replaceAll(`"hash":"`, `"hash":"0`), true},
+		{"altered worker in an entry", replaceAll("worker/w6", "worker/w7"), true},
 		{"entries and states of a newer format", replaceAll(`{"f":1,`, `{"f":2,`), true},
 		{"another cluster", replaceAll(apitest.Cluster, "c-other"), true},
-		{"a circle", replaceAll(`"path":["a"`, `"path":["a","o"`), false},
+		{"loop in the path", replaceAll(`"path":["a"`, `"path":["a","o"`), false},
 		{"an older state", func([]byte) []byte { return fullStateOf(t, older, 4) }, true},
-		{"an older state with a newer head", func([]byte) []byte { return fullStateOf(t, older, 9) }, true},
+		{"an older state with a newer header", func([]byte) []byte { return fullStateOf(t, older, 9) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := apitest.NewVoter("a", 0)
@@ -78,37 +78,37 @@
 			good, stop := apitest.Serve(t, v.Handler(api.Options{}))
 			var served atomic.Int64
 			bad, _ := apitest.Serve(t, mangleEntries(v.Handler(api.Options{}), c.change, &served))
-			var at atomic.Value
-			at.Store(good)
+			var addrInUse atomic.Value
+			addrInUse.Store(good)
 			var log logBuffer
-			o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return at.Load().(string) },
+			o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return addrInUse.Load().(string) },
 				Log: slog.New(slog.NewTextHandler(&log, nil))})
 			waitForVersion(t, o, 5)
 			before := o.state.View()
-			// All is written while no source can be reached: an answer between two writes would lack what a case changes, and so
-			// be right.
-			at.Store(unreachableAddr)
+			// The writes happen while no source is reachable: a response between two of them would lack what the case alters, and
+			// so be valid.
+			addrInUse.Store(unreachableAddr)
 			stop()
 			last := v.Add(t, 3)
-			at.Store(bad)
-			waitFor(t, "wrong answers", func() bool { return served.Load() >= 4 })
+			addrInUse.Store(bad)
+			waitFor(t, "invalid responses", func() bool { return served.Load() >= 4 })
 			if now := o.state.View(); now.Version() != 5 || now.Hash() != before.Hash() {
-				t.Errorf("it shows version %d, hash %s", now.Version(), now.Hash())
+				t.Errorf("serves version %d, hash %s", now.Version(), now.Hash())
 			}
 			if logged := log.count("cluster_state_refused") > 0; logged != c.logged {
-				t.Errorf("the log has %d refusals", log.count("cluster_state_refused"))
+				t.Errorf("log has %d rejections", log.count("cluster_state_refused"))
 			}
 			good, _ = apitest.Serve(t, v.Handler(api.Options{}))
-			at.Store(good)
+			addrInUse.Store(good)
 			waitForVersion(t, o, last)
 			if o.state.View().Hash() != v.State.View().Hash() {
-				t.Error("it has another state than the voter in the end")
+				t.Error("final state differs from that of the voter")
 			}
 		})
 	}
 }
 
-// An observer whose own state is wrong finds that out by the hash of its source, and takes a whole one.
+// An observer whose state differs from that of its source at the same version detects it by the hash and requests a full state.
 func TestDivergentStateIsReplaced(t *testing.T) {
 	v, other := apitest.NewVoter("a", 0), apitest.NewVoter("a", 0)
 	v.Add(t, 5)
@@ -118,14 +118,14 @@
 	}
 	wrong, stop := apitest.Serve(t, other.Handler(api.Options{}))
 	right, _ := apitest.Serve(t, v.Handler(api.Options{}))
-	var at atomic.Value
-	at.Store(wrong)
-	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return at.Load().(string) }})
+	var addrInUse atomic.Value
+	addrInUse.Store(wrong)
+	o := openObserver(t, Config{Sources: []Source{{Name: "a"}}, Resolve: func(string, string) string { return addrInUse.Load().(string) }})
 	waitForVersion(t, o, 5)
-	at.Store(right)
+	addrInUse.Store(right)
 	stop()
-	waitFor(t, "the right state", func() bool { return o.state.View().Hash() == v.State.View().Hash() })
+	waitFor(t, "the state of the source", func() bool { return o.state.View().Hash() == v.State.View().Hash() })
 	if strings.Contains(o.Status().Fault, "hash") {
-		t.Error("a fault stays")
+		t.Error("the fault was not cleared")
 	}
 }
--- a/internal/cluster/observer/run.go
+++ b/internal/cluster/observer/run.go
@@ -106,8 +106,8 @@
 
 // requestEntries asks a source for newer entries or, if needed, for a full state.
 func (o *Observer) requestEntries(ctx context.Context, from candidate, wait time.Duration, avoidLeader bool) (response, error) {
-	req := api.EntriesRequest{Since: o.state.View().Version(), Wait: wait, Name: o.config.Name, Addr: o.config.Addr, FullState: o.needFullState, AvoidLeader: avoidLeader,
-		SilenceTimeout: o.timings.SilenceTimeout}
+	req := api.EntriesRequest{Since: o.state.View().Version(), Wait: wait, Name: o.config.Name, Addr: o.config.Addr,
+		FullState: o.needFullState, AvoidLeader: avoidLeader, SilenceTimeout: o.timings.SilenceTimeout}
 	if o.needFullState {
 		req.SilenceTimeout *= 5 // the source has to encode the full state first
 	}
--- a/internal/cluster/replica/replica_test.go
+++ b/internal/cluster/replica/replica_test.go
@@ -11,6 +11,7 @@
 	"burlpass/internal/record"
 )
 
+// drawEntries draws n random clock and write entries.
 func drawEntries(t *rapid.T, n int) [][]byte {
 	var out [][]byte
 	for i := range n {
@@ -32,6 +33,7 @@
 	return out
 }
 
+// savedBytes returns a view in the format of record.Save.
 func savedBytes(t *rapid.T, v record.View) string {
 	var b bytes.Buffer
 	if err := record.Save(&b, v); err != nil {
@@ -40,8 +42,8 @@
 	return b.String()
 }
 
-// The same entries in batches of any size, looked at between or not, give the same results and bytes; and what was looked at
-// stays as it was.
+// Applying the same entries in batches of any size, with or without views in between, gives the same results and states, and
+// earlier views do not change.
 func TestBatchSizeDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := record.Bounds{Items: 6, Results: 20}
@@ -58,7 +60,7 @@
 			select {
 			case <-changed:
 			default:
-				t.Fatal("nobody is woken")
+				t.Fatal("Changed was not closed")
 			}
 			for i := range n {
 				want, err := single.Apply(raw[i])
@@ -79,13 +81,13 @@
 		}
 		for i, v := range views {
 			if savedBytes(t, v) != expected[i] {
-				t.Fatalf("view %d has changed", i)
+				t.Fatalf("view %d changed", i)
 			}
 		}
 	})
 }
 
-// Entries before one that is none are taken, and none after it.
+// Entries before an invalid one are applied; it and those after it are not.
 func TestBatchWithInvalidEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := drawEntries(t, rapid.IntRange(1, 80).Draw(t, "entries"))
