--- a/internal/cluster/api/follow.go
+++ b/internal/cluster/api/follow.go
@@ -125,7 +125,7 @@
 	src             io.Reader
 	watchdog        *time.Timer
 	silenceTimeout  time.Duration
-	initialDeadline time.Time // by which the response may still be short
+	initialDeadline time.Time // deadline of an empty response; every received byte extends it
 	received        int64
 }
 
--- a/internal/cluster/observer/disk.go
+++ b/internal/cluster/observer/disk.go
@@ -84,20 +84,20 @@
 }
 
 // restore brings an empty replica to the stored state.
-func (k *storedState) restore(dst *replica.Replica) error {
-	if err := dst.Restore(bytes.NewReader(k.savedState)); err != nil {
+func (s *storedState) restore(dst *replica.Replica) error {
+	if err := dst.Restore(bytes.NewReader(s.savedState)); err != nil {
 		return err
 	}
-	for _, b := range k.batches {
+	for _, b := range s.batches {
 		commit, err := dst.Stage(b.Entries, b.Version, b.Hash)
 		if err != nil {
 			return err
 		}
 		commit()
 	}
-	if v := dst.View(); v.Version() != k.metadata.Version || v.Hash() != k.metadata.Hash {
+	if v := dst.View(); v.Version() != s.metadata.Version || v.Hash() != s.metadata.Hash {
 		return fmt.Errorf("stored entries lead to version %d, hash %s, want version %d, hash %s",
-			v.Version(), v.Hash(), k.metadata.Version, k.metadata.Hash)
+			v.Version(), v.Hash(), s.metadata.Version, s.metadata.Hash)
 	}
 	return nil
 }
