--- a/internal/cluster/api/follow.go
+++ b/internal/cluster/api/follow.go
@@ -14,125 +14,126 @@
 	"burlpass/internal/record"
 )
 
-// Ask is what a follower asks of its source.
-type Ask struct {
-	Since      record.Version // that it has
-	Wait       time.Duration  // at most, for something newer
-	Name, Addr string         // its own; the address, where it has one, is told to others
-	Whole      bool           // the whole state, not older than Since
-	NotLeader  bool           // ErrLeader is wanted where the source leads
+// EntriesRequest is a follower's request for entries.
+type EntriesRequest struct {
+	Since       record.Version // version that the follower has
+	Wait        time.Duration  // how long the source may wait for newer entries
+	Name, Addr  string         // of the follower; the address is optional and is given to other followers
+	FullState   bool           // request a full state that is not older than Since
+	AvoidLeader bool           // fail with ErrSourceIsLeader if the source leads
 
-	// Silence is how long the source may say nothing, beyond Wait before the first byte and between any two.
-	Silence time.Duration
-	Most    int64 // bytes of the answer; 0: DefaultMost
+	// SilenceTimeout is how long the source may send nothing: beyond Wait before the first byte, and between any two bytes.
+	SilenceTimeout time.Duration
+	MaxBytes       int64 // of the response; 0 means DefaultMaxBatchBytes
 }
 
 // Errors of Entries.
 var (
-	ErrLeader  = errors.New("the source is the leader")
-	errSilence = errors.New("the source is silent")
+	ErrSourceIsLeader = errors.New("the source is the leader")
+	errSourceSilent   = errors.New("the source is silent")
 )
 
-// FullError is a source without a free place.
-type FullError struct{ Try []Peer } // its own followers
+// AtCapacityError is returned by a source that accepts no further followers. Alternatives are its own followers.
+type AtCapacityError struct{ Alternatives []Peer }
 
 // Error implements error.
-func (e *FullError) Error() string {
-	return fmt.Sprintf("no free place; it names %d others", len(e.Try))
+func (e *AtCapacityError) Error() string {
+	return fmt.Sprintf("follower capacity reached; %d alternatives", len(e.Alternatives))
 }
 
-// Entries is one long call for what is newer than the asker's state. An answer that is not whole, in every line and by its
-// own count, is an error: nothing of it is used.
-func (c *Client) Entries(ctx context.Context, a Ask) (*Batch, error) {
-	q := url.Values{"since": {strconv.FormatUint(uint64(a.Since), 10)}, "name": {a.Name},
-		"wait_ms": {strconv.FormatInt(a.Wait.Milliseconds(), 10)}}
-	if a.Addr != "" {
-		q.Set("addr", a.Addr)
+// Entries long-polls for entries that are newer than the state of the follower. An incomplete or malformed response is an
+// error and none of it is used.
+func (c *Client) Entries(ctx context.Context, req EntriesRequest) (*Batch, error) {
+	q := url.Values{"since": {strconv.FormatUint(uint64(req.Since), 10)}, "name": {req.Name},
+		"wait_ms": {strconv.FormatInt(req.Wait.Milliseconds(), 10)}}
+	if req.Addr != "" {
+		q.Set("addr", req.Addr)
 	}
-	if a.Whole {
+	if req.FullState {
 		q.Set("state", "1")
 	}
-	if a.NotLeader {
+	if req.AvoidLeader {
 		q.Set("unless_leader", "1")
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(a.Wait+a.Silence, func() { cancel(errSilence) })
-	defer alarm.Stop()
+	watchdog := time.AfterFunc(req.Wait+req.SilenceTimeout, func() { cancel(errSourceSilent) })
+	defer watchdog.Stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/entries?"+q.Encode(), nil)
 	if err != nil {
 		return nil, err
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return nil, cause(ctx, err)
+		return nil, causeOf(ctx, err)
 	}
 	defer resp.Body.Close()
-	body := &heard{resp.Body, alarm, a.Silence, time.Now().Add(leastTime), 0}
+	body := &monitoredReader{resp.Body, watchdog, req.SilenceTimeout, time.Now().Add(minReceiveTime), 0}
 	if resp.StatusCode != http.StatusOK {
-		return nil, cause(ctx, notServed(resp, body))
+		return nil, causeOf(ctx, refusalError(resp, body))
 	}
-	b, err := ReadBatch(body, or(a.Most, DefaultMost))
+	b, err := ReadBatch(body, orDefault(req.MaxBytes, DefaultMaxBatchBytes))
 	if err != nil {
-		return nil, cause(ctx, err)
+		return nil, causeOf(ctx, err)
 	}
-	if b.Since != a.Since {
-		return nil, fmt.Errorf("entries after %d where those after %d were asked for", b.Since, a.Since)
+	if b.Since != req.Since {
+		return nil, fmt.Errorf("got entries after version %d, requested those after %d", b.Since, req.Since)
 	}
-	// Of the time since the question only what the source says it waited is surely no part of the age.
-	b.AgeMs += max(0, ceilMs(time.Since(asked))-b.WaitedMs)
+	// Only the time that the source reports as waited certainly does not add to the age; the rest of the round trip may.
+	b.AgeMs += max(0, ceilMs(time.Since(sentAt))-b.WaitedMs)
 	return b, nil
 }
 
-// cause prefers why a call was ended to how that showed.
-func cause(ctx context.Context, err error) error {
-	if why := context.Cause(ctx); why != nil {
-		return why
+// causeOf returns the reason why ctx was cancelled, or err if it was not.
+func causeOf(ctx context.Context, err error) error {
+	if cause := context.Cause(ctx); cause != nil {
+		return cause
 	}
 	return err
 }
 
-func notServed(resp *http.Response, body io.Reader) error {
-	text, err := readAll(body, mostWord)
+// refusalError converts a response without entries to an error.
+func refusalError(resp *http.Response, body io.Reader) error {
+	content, err := readAll(body, maxResponseBytes)
 	if err != nil {
 		return err
 	}
-	var no noEntries
-	if resp.StatusCode != http.StatusServiceUnavailable || json.Unmarshal(text, &no) != nil {
-		return fmt.Errorf("%s: %.200q", resp.Status, text)
+	var refusal entriesRefusal
+	if resp.StatusCode != http.StatusServiceUnavailable || json.Unmarshal(content, &refusal) != nil {
+		return fmt.Errorf("%s: %.200q", resp.Status, content)
 	}
 	switch {
-	case no.Leader:
-		return ErrLeader
-	case no.Full:
-		return &FullError{no.Try}
-	case no.Nothing != "":
+	case refusal.Leader:
+		return ErrSourceIsLeader
+	case refusal.Full:
+		return &AtCapacityError{refusal.Alternatives}
+	case refusal.Nothing != "":
 		return ErrNothing
 	}
-	return fmt.Errorf("%w: %.200s", ErrRefused, no.Refused)
+	return fmt.Errorf("%w: %.200s", ErrRefused, refusal.Refused)
 }
 
-// What a source must send at least, so that one that dribbles is given up too.
+// Minimum receive rate, which also disconnects a source that sends very slowly.
 const (
-	leastTime = 10 * time.Second // for what is short
-	leastRate = 64 << 10         // bytes a second of what is long
+	minReceiveTime = 10 * time.Second // granted to every response
+	minReceiveRate = 64 << 10         // bytes per second
 )
 
-// heard puts the alarm off with every read, as long as enough comes.
-type heard struct {
-	from    io.Reader
-	alarm   *time.Timer
-	silence time.Duration
-	end     time.Time // of the first bytes
-	got     int64
+// monitoredReader resets the watchdog with every read while enough data arrives.
+type monitoredReader struct {
+	src             io.Reader
+	watchdog        *time.Timer
+	silenceTimeout  time.Duration
+	initialDeadline time.Time // deadline of an empty response; every received byte extends it
+	received        int64
 }
 
-func (h *heard) Read(p []byte) (int, error) {
-	n, err := h.from.Read(p)
+func (m *monitoredReader) Read(p []byte) (int, error) {
+	n, err := m.src.Read(p)
 	if n > 0 {
-		h.got += int64(n)
-		h.alarm.Reset(min(h.silence, time.Until(h.end.Add(time.Duration(h.got)*time.Second/leastRate))))
+		m.received += int64(n)
+		m.watchdog.Reset(min(m.silenceTimeout, time.Until(m.initialDeadline.Add(time.Duration(m.received)*time.Second/minReceiveRate))))
 	}
 	return n, err
 }
--- a/internal/cluster/api/wire.go
+++ b/internal/cluster/api/wire.go
@@ -11,138 +11,140 @@
 	"burlpass/internal/record"
 )
 
-// Format is the newest form of an answer to /v1/entries that this program writes and reads.
+// Format is the newest format of a response to /v1/entries that this program reads and writes.
 const Format = 1
 
-// What an answer to /v1/entries carries.
+// Kinds of responses to /v1/entries.
 const (
-	KindEntries = "entries" // the entries after Head.Since
-	KindState   = "state"   // a whole state, as record.Save wrote it
+	KindEntries = "entries" // the entries after Header.Since
+	KindState   = "state"   // a full state, as written by record.Save
 )
 
-// Bounds of an answer that is read.
+// Limits on a response that is read.
 const (
-	mostHead    = 64 << 10 // bytes of its first and last line
-	DefaultMost = 256 << 20
-	readBuffer  = 64 << 10
-	maxPath     = 64 // names of a path
+	maxLineBytes         = 64 << 10 // of the header and the trailer
+	DefaultMaxBatchBytes = 256 << 20
+	readBufferBytes      = 64 << 10
+	maxPathLength        = 64 // names in a path
 )
 
-// ErrFormat is an answer in a form that only a newer program knows.
-var ErrFormat = errors.New("a newer format")
+// ErrFormat reports a response in a format that only a newer program can read.
+var ErrFormat = errors.New("newer format")
 
-// Head is the first line of an answer to /v1/entries.
-type Head struct {
+// Header is the first line of a response to /v1/entries.
+type Header struct {
 	Format  int            `json:"format"`
-	Cluster string         `json:"cluster"` // its id
+	Cluster string         `json:"cluster"` // cluster ID
 	Kind    string         `json:"kind"`
-	Since   record.Version `json:"since"`   // the entries follow it; of a state what was asked
-	Version record.Version `json:"version"` // that the answer leads to; older than Since where the source itself is behind
-	Hash    string         `json:"hash"`    // of Version's state
-	Path    []string       `json:"path"`    // names from a voter to the one that answers
-	Leader  bool           `json:"leader"`  // the one that answers leads
-	AgeMs   int64          `json:"age_ms"`  // how long ago, when this line was written, Version was surely the newest
-	// WaitedMs is how long the answer was held back. What the call took beyond it may all have passed since this line was
-	// written, so a follower adds that to AgeMs.
+	Since   record.Version `json:"since"`   // version before the first entry; for a state the requested one
+	Version record.Version `json:"version"` // version after the last entry; older than Since if the source is behind
+	Hash    string         `json:"hash"`    // of the state at Version
+	Path    []string       `json:"path"`    // names from a voter to the source
+	Leader  bool           `json:"leader"`  // whether the source is the leader
+	AgeMs   int64          `json:"age_ms"`  // how long before the header was written Version was certainly the newest
+	// WaitedMs is how long the response was held back. The rest of the call's duration may have passed after the header was
+	// written, so a follower adds it to AgeMs.
 	WaitedMs int64 `json:"waited_ms"`
-	Count    int   `json:"count"` // lines between the first and the last
+	Count    int   `json:"count"` // lines between the header and the trailer
 }
 
-type endLine struct {
+// trailerLine is the last line of a response to /v1/entries.
+type trailerLine struct {
 	End  bool   `json:"end"`
 	Hash string `json:"hash"`
 }
 
-// Batch is a whole answer to /v1/entries: one that came to its end, or one that is to be written.
+// Batch is a complete response to /v1/entries, received or to be sent.
 type Batch struct {
-	Head
-	Entries [][]byte // of KindEntries, as record.Encode made them
-	Saved   []byte   // of KindState, as record.Save wrote it
+	Header
+	Entries    [][]byte // for KindEntries, as encoded by record.Encode
+	SavedState []byte   // for KindState, as written by record.Save
 }
 
-// State reads the state of a Batch of KindState.
-func (b *Batch) State() io.Reader { return bytes.NewReader(b.Saved) }
+// State returns a reader of the state of a batch of KindState.
+func (b *Batch) State() io.Reader { return bytes.NewReader(b.SavedState) }
 
-// Bytes is how long the batch's lines are together, in bytes, without the first and the last.
-func (b *Batch) Bytes() int {
-	n := len(b.Saved)
+// Size returns the total length in bytes of the lines between the header and the trailer.
+func (b *Batch) Size() int {
+	n := len(b.SavedState)
 	for _, e := range b.Entries {
 		n += len(e) + 1
 	}
 	return n
 }
 
-// AppendHead appends the first line.
-func (h *Head) AppendHead(to []byte) []byte {
+// AppendHeader appends the first line.
+func (h *Header) AppendHeader(dst []byte) []byte {
 	line, err := json.Marshal(h)
 	if err != nil { // strings and numbers only
 		panic(err)
 	}
-	return append(append(to, line...), '\n')
+	return append(append(dst, line...), '\n')
 }
 
-// AppendEnd appends the last line.
-func (h *Head) AppendEnd(to []byte) []byte {
-	line, err := json.Marshal(endLine{true, h.Hash})
+// AppendTrailer appends the last line.
+func (h *Header) AppendTrailer(dst []byte) []byte {
+	line, err := json.Marshal(trailerLine{true, h.Hash})
 	if err != nil {
 		panic(err)
 	}
-	return append(append(to, line...), '\n')
+	return append(append(dst, line...), '\n')
 }
 
-// Append appends the batch as it is sent and kept.
-func (b *Batch) Append(to []byte) []byte {
-	to = b.AppendHead(to)
+// Append appends the batch in the form in which it is sent and stored.
+func (b *Batch) Append(dst []byte) []byte {
+	dst = b.AppendHeader(dst)
 	for _, e := range b.Entries {
-		to = append(append(to, e...), '\n')
+		dst = append(append(dst, e...), '\n')
 	}
-	return b.AppendEnd(append(to, b.Saved...))
+	return b.AppendTrailer(append(dst, b.SavedState...))
 }
 
-// ReadBatch reads a batch to its last line and to from's end. Whatever is missing, too much or over most bytes is an error,
-// and then there is no batch. It does not apply anything: whether the hash is right is seen by who does.
-func ReadBatch(from io.Reader, most int64) (*Batch, error) {
-	r := bufio.NewReaderSize(&bounded{from, most + 2*mostHead}, readBuffer)
-	line, err := readLine(r, nil, mostHead)
+// ReadBatch reads a batch up to the trailer and the end of src. Missing, excess or oversized data is an error. The hash is
+// only compared between header and trailer; whoever applies the batch verifies it.
+func ReadBatch(src io.Reader, maxBytes int64) (*Batch, error) {
+	r := bufio.NewReaderSize(&boundedReader{src, maxBytes + 2*maxLineBytes}, readBufferBytes)
+	line, err := readLine(r, nil, maxLineBytes)
 	if err != nil {
 		return nil, fmt.Errorf("first line: %w", err)
 	}
 	b := &Batch{}
-	if err := json.Unmarshal(line, &b.Head); err != nil {
+	if err := json.Unmarshal(line, &b.Header); err != nil {
 		return nil, fmt.Errorf("first line: %w", err)
 	}
-	if err := b.Head.check(); err != nil {
+	if err := b.Header.validate(); err != nil {
 		return nil, err
 	}
 	for i := range b.Count {
 		if b.Kind == KindState {
-			b.Saved, err = readLine(r, b.Saved, most)
-			b.Saved = append(b.Saved, '\n')
+			b.SavedState, err = readLine(r, b.SavedState, maxBytes)
+			b.SavedState = append(b.SavedState, '\n')
 		} else {
-			line, err = readLine(r, nil, most)
+			line, err = readLine(r, nil, maxBytes)
 			b.Entries = append(b.Entries, line)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("line %d of %d: %w", i+1, b.Count, err)
 		}
 	}
-	if line, err = readLine(r, nil, mostHead); err != nil {
+	if line, err = readLine(r, nil, maxLineBytes); err != nil {
 		return nil, fmt.Errorf("last line: %w", err)
 	}
-	var end endLine
-	if err := json.Unmarshal(line, &end); err != nil || !end.End {
-		return nil, fmt.Errorf("last line: %.80q is not one", line)
+	var trailer trailerLine
+	if err := json.Unmarshal(line, &trailer); err != nil || !trailer.End {
+		return nil, fmt.Errorf("last line: %.80q is not a trailer", line)
 	}
-	if end.Hash != b.Hash {
-		return nil, fmt.Errorf("last line: hash %.80q, first line %.80q", end.Hash, b.Hash)
+	if trailer.Hash != b.Hash {
+		return nil, fmt.Errorf("last line: hash %.80q, first line %.80q", trailer.Hash, b.Hash)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		return nil, errors.New("more after the last line")
+		return nil, errors.New("data after the last line")
 	}
 	return b, nil
 }
 
-func (h *Head) check() error {
+// validate checks the header for consistency.
+func (h *Header) validate() error {
 	switch {
 	case h.Format > Format:
 		return fmt.Errorf("%w: %d", ErrFormat, h.Format)
@@ -151,18 +153,18 @@
 	case h.Kind != KindEntries && h.Kind != KindState:
 		return fmt.Errorf("kind %.40q", h.Kind)
 	case h.Count < 0 || h.AgeMs < 0 || h.WaitedMs < 0:
-		return errors.New("a negative count or age")
-	case len(h.Path) == 0 || len(h.Path) > maxPath:
-		return fmt.Errorf("a path of %d names", len(h.Path))
+		return errors.New("negative count or age")
+	case len(h.Path) == 0 || len(h.Path) > maxPathLength:
+		return fmt.Errorf("path has %d names", len(h.Path))
 	case h.Kind == KindState && h.Count == 0:
-		return errors.New("a state of no lines")
+		return errors.New("state has no lines")
 	case h.Kind == KindEntries && h.Count != entriesBetween(h.Since, h.Version):
 		return fmt.Errorf("%d entries from %d to %d", h.Count, h.Since, h.Version)
 	}
 	return nil
 }
 
-// entriesBetween is how many entries lead from one version to another, 0 where the other is older.
+// entriesBetween returns the number of entries from one version to a later one, or 0 if it is not later.
 func entriesBetween(since, to record.Version) int {
 	if to <= since {
 		return 0
@@ -170,17 +172,17 @@
 	return int(to - since)
 }
 
-// readLine appends a line without its end to a slice.
-func readLine(r *bufio.Reader, to []byte, most int64) ([]byte, error) {
+// readLine appends a line to dst, without its newline.
+func readLine(r *bufio.Reader, dst []byte, maxBytes int64) ([]byte, error) {
 	for {
 		part, err := r.ReadSlice('\n')
-		if int64(len(to)+len(part)) > most+1 {
-			return nil, fmt.Errorf("over %d bytes", most)
+		if int64(len(dst)+len(part)) > maxBytes+1 {
+			return nil, fmt.Errorf("over %d bytes", maxBytes)
 		}
-		to = append(to, part...)
+		dst = append(dst, part...)
 		switch err {
 		case nil:
-			return to[:len(to)-1], nil
+			return dst[:len(dst)-1], nil
 		case bufio.ErrBufferFull:
 		case io.EOF:
 			return nil, io.ErrUnexpectedEOF
@@ -190,17 +192,17 @@
 	}
 }
 
-// bounded is a reader that fails after so many bytes, where io.LimitReader would look like the end.
-type bounded struct {
-	from io.Reader
-	left int64
+// boundedReader fails after a number of bytes, where io.LimitReader would report the end of the data.
+type boundedReader struct {
+	src       io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errors.New("the answer is too long")
+func (b *boundedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, errors.New("response is too long")
 	}
-	n, err := b.from.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.src.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	return n, err
 }
--- a/internal/cluster/frames/frames.go
+++ b/internal/cluster/frames/frames.go
@@ -1,7 +1,7 @@
-// Package frames guards what members of a cluster say to one another against bytes that a network spoils and TCP's sum of 16
-// bits lets through: raft's messages, a handed-on write or an age have no checksum of their own. Whoever dials sends a preface
-// and then frames, and is answered in frames; a connection without the preface is left as it is, so that the address answers
-// curl as well.
+// Package frames protects the connections between members of a cluster against corruption that the 16-bit checksum of TCP
+// misses: raft messages, forwarded writes and ages have no checksum of their own. The dialing side sends a preface followed
+// by frames, and receives frames. A connection without the preface is passed through unchanged, so that the same address also
+// serves plain HTTP clients such as curl.
 package frames
 
 import (
@@ -19,26 +19,26 @@
 )
 
 const (
-	preface   = "\x00burlpass-1\n" // no request begins with a zero byte
-	headBytes = 8                  // length and its complement, two bytes each, and a CRC-32C over the payload
-	mostBytes = 16 << 10           // of a payload
+	preface         = "\x00burlpass-1\n" // starts with a zero byte, which no HTTP request does
+	headerBytes     = 8                  // 16-bit length, its complement and a CRC-32C of the payload
+	maxPayloadBytes = 16 << 10
 )
 
-// ErrSpoilt is a frame that is not what was sent. The connection is of no use any more.
-var ErrSpoilt = errors.New("bytes were spoilt on the way")
+// ErrCorrupted reports a frame that was altered in transit. The connection cannot be used any further.
+var ErrCorrupted = errors.New("frame corrupted in transit")
 
-// Dial makes a connection of a dialer's one that speaks frames.
+// Dial wraps a dial function so that its connections send and receive frames.
 func Dial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), dialled: true, framed: newMode(true)}, nil
+		return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), dialed: true, framed: newAtomicBool(true)}, nil
 	}
 }
 
-// Listen gives the connections of a listener, in frames where whoever dialled speaks them.
+// Listen wraps a listener so that its connections use frames if the dialing side does.
 func Listen(l net.Listener) net.Listener { return listener{l} }
 
 type listener struct{ net.Listener }
@@ -48,53 +48,53 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), framed: newMode(false)}, nil
+	return &conn{Conn: c, table: crc32.MakeTable(crc32.Castagnoli), framed: newAtomicBool(false)}, nil
 }
 
-func newMode(framed bool) *atomic.Bool {
+func newAtomicBool(framed bool) *atomic.Bool {
 	m := &atomic.Bool{}
 	m.Store(framed)
 	return m
 }
 
-// conn is one end. What was read of an unfinished frame is kept, for reads may be broken off by a deadline and go on.
+// conn is one end of a connection. It keeps a partially received frame, so that a read interrupted by a deadline can resume.
 type conn struct {
 	net.Conn
-	table   *crc32.Table
-	dialled bool
-	framed  *atomic.Bool // of who has accepted, known after the first read, which comes before the first write
-
-	reads sync.Mutex
-	known bool   // whether the preface was there
-	raw   []byte // read and not looked at
-	ready []byte // payload that nobody has had
-	bad   bool
-
-	writes sync.Mutex
-	begun  bool // the preface was sent
-	out    []byte
+	table  *crc32.Table
+	dialed bool
+	framed *atomic.Bool // on an accepted connection set by the first read, which precedes the first write
+
+	readMu         sync.Mutex
+	prefaceChecked bool   // whether the presence of the preface is known
+	undecoded      []byte // received bytes
+	decoded        []byte // payload not yet returned by Read
+	corrupted      bool
+
+	writeMu     sync.Mutex
+	prefaceSent bool
+	writeBuffer []byte
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	c.reads.Lock()
-	defer c.reads.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	for len(b) > 0 {
-		if len(c.ready) > 0 {
-			n := copy(b, c.ready)
-			c.ready = c.ready[n:]
+		if len(c.decoded) > 0 {
+			n := copy(b, c.decoded)
+			c.decoded = c.decoded[n:]
 			return n, nil
 		}
-		if err := c.parse(); err != nil {
+		if err := c.decode(); err != nil {
 			return 0, err
 		}
-		if len(c.ready) > 0 {
+		if len(c.decoded) > 0 {
 			continue
 		}
-		if c.known && !c.framed.Load() {
+		if c.prefaceChecked && !c.framed.Load() {
 			return c.Conn.Read(b)
 		}
 		n, err := c.fill()
-		if n == 0 && errors.Is(err, io.EOF) && len(c.raw) > 0 {
+		if n == 0 && errors.Is(err, io.EOF) && len(c.undecoded) > 0 {
 			return 0, io.ErrUnexpectedEOF
 		}
 		if n == 0 && err != nil {
@@ -104,78 +104,78 @@
 	return 0, nil
 }
 
-// fill reads what there is.
+// fill reads the available bytes into undecoded.
 func (c *conn) fill() (int, error) {
-	var piece [4 << 10]byte
-	n, err := c.Conn.Read(piece[:])
-	c.raw = append(c.raw, piece[:n]...)
+	var chunk [4 << 10]byte
+	n, err := c.Conn.Read(chunk[:])
+	c.undecoded = append(c.undecoded, chunk[:n]...)
 	return n, err
 }
 
-// parse takes a preface or a frame from raw, if a whole one is there.
-func (c *conn) parse() error {
+// decode consumes the preface or a complete frame from undecoded, if there is one.
+func (c *conn) decode() error {
 	switch {
-	case c.bad:
-		return ErrSpoilt
-	case !c.known && c.dialled:
-		c.known = true
-	case !c.known && len(c.raw) > 0 && c.raw[0] != preface[0]:
-		c.known, c.ready, c.raw = true, c.raw, nil
+	case c.corrupted:
+		return ErrCorrupted
+	case !c.prefaceChecked && c.dialed:
+		c.prefaceChecked = true
+	case !c.prefaceChecked && len(c.undecoded) > 0 && c.undecoded[0] != preface[0]:
+		c.prefaceChecked, c.decoded, c.undecoded = true, c.undecoded, nil
 		return nil
-	case !c.known && len(c.raw) >= len(preface):
-		if c.bad = !bytes.HasPrefix(c.raw, []byte(preface)); c.bad {
-			return ErrSpoilt
+	case !c.prefaceChecked && len(c.undecoded) >= len(preface):
+		if c.corrupted = !bytes.HasPrefix(c.undecoded, []byte(preface)); c.corrupted {
+			return ErrCorrupted
 		}
 		c.framed.Store(true)
-		c.known, c.raw = true, c.raw[len(preface):]
+		c.prefaceChecked, c.undecoded = true, c.undecoded[len(preface):]
 	}
-	if !c.known || !c.framed.Load() || len(c.raw) < headBytes {
+	if !c.prefaceChecked || !c.framed.Load() || len(c.undecoded) < headerBytes {
 		return nil
 	}
-	n := int(binary.BigEndian.Uint16(c.raw))
-	if n^0xffff != int(binary.BigEndian.Uint16(c.raw[2:])) || n > mostBytes || n == 0 {
-		c.bad = true
-		return ErrSpoilt
+	n := int(binary.BigEndian.Uint16(c.undecoded))
+	if n^0xffff != int(binary.BigEndian.Uint16(c.undecoded[2:])) || n > maxPayloadBytes || n == 0 {
+		c.corrupted = true
+		return ErrCorrupted
 	}
-	if len(c.raw) < headBytes+n {
+	if len(c.undecoded) < headerBytes+n {
 		return nil
 	}
-	payload := c.raw[headBytes : headBytes+n]
-	if crc32.Checksum(payload, c.table) != binary.BigEndian.Uint32(c.raw[4:]) {
-		c.bad = true
-		return ErrSpoilt
+	payload := c.undecoded[headerBytes : headerBytes+n]
+	if crc32.Checksum(payload, c.table) != binary.BigEndian.Uint32(c.undecoded[4:]) {
+		c.corrupted = true
+		return ErrCorrupted
 	}
-	c.ready, c.raw = payload, c.raw[headBytes+n:]
+	c.decoded, c.undecoded = payload, c.undecoded[headerBytes+n:]
 	return nil
 }
 
-// Write sends b in as many frames as it takes, by one call each. The preface goes with the first.
+// Write sends b in one or more frames with one write each. The first one includes the preface.
 func (c *conn) Write(b []byte) (int, error) {
 	if !c.framed.Load() {
 		return c.Conn.Write(b)
 	}
-	c.writes.Lock()
-	defer c.writes.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	for sent := 0; sent < len(b); {
-		part := b[sent:min(len(b), sent+mostBytes)]
-		c.out = c.out[:0]
-		if c.dialled && !c.begun {
-			c.out = append(c.out, preface...)
+		part := b[sent:min(len(b), sent+maxPayloadBytes)]
+		c.writeBuffer = c.writeBuffer[:0]
+		if c.dialed && !c.prefaceSent {
+			c.writeBuffer = append(c.writeBuffer, preface...)
 		}
-		c.out = binary.BigEndian.AppendUint16(c.out, uint16(len(part)))
-		c.out = binary.BigEndian.AppendUint16(c.out, ^uint16(len(part)))
-		c.out = binary.BigEndian.AppendUint32(c.out, crc32.Checksum(part, c.table))
-		c.out = append(c.out, part...)
-		if _, err := c.Conn.Write(c.out); err != nil {
-			return sent, err // where a frame went in part, the other side finds it spoilt
+		c.writeBuffer = binary.BigEndian.AppendUint16(c.writeBuffer, uint16(len(part)))
+		c.writeBuffer = binary.BigEndian.AppendUint16(c.writeBuffer, ^uint16(len(part)))
+		c.writeBuffer = binary.BigEndian.AppendUint32(c.writeBuffer, crc32.Checksum(part, c.table))
+		c.writeBuffer = append(c.writeBuffer, part...)
+		if _, err := c.Conn.Write(c.writeBuffer); err != nil {
+			return sent, err // the peer detects a partially sent frame as corrupted
 		}
-		c.begun = true
+		c.prefaceSent = true
 		sent += len(part)
 	}
 	return len(b), nil
 }
 
-// CloseWrite ends this side's direction, as of a TCP connection.
+// CloseWrite closes the write side, as on a TCP connection.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -183,11 +183,11 @@
 	return nil
 }
 
-// Quiet tells that nothing has come that was not read. It is for who does not read meanwhile.
+// Quiet reports whether there is no unread data. It is meant for callers that do not read concurrently.
 func (c *conn) Quiet() bool {
-	if !c.reads.TryLock() {
+	if !c.readMu.TryLock() {
 		return true
 	}
-	defer c.reads.Unlock()
-	return len(c.raw) == 0 && len(c.ready) == 0 && transport.Quiet(c.Conn)
+	defer c.readMu.Unlock()
+	return len(c.undecoded) == 0 && len(c.decoded) == 0 && transport.Quiet(c.Conn)
 }
