--- a/decide/api.go
+++ b/decide/api.go
@@ -94,22 +94,22 @@
 
 // Safety holds the parameters of the four safety rules.
 type Safety struct {
-	AnswerSlack  time.Duration // how long after the deadline a final answer still counts
-	AskWithin    time.Duration // with Subscribe: time without a call after which older changes count as known
-	DrainGrace   time.Duration
-	FallMultiple float64       // a server fails when it gets more than this multiple of its present capacity
-	TipAfter     time.Duration // for this time
-	StartShare   float64       // a new server has at least this share of its full capacity
-	WarmAfter    time.Duration // and the full capacity after this time
+	AnswerSlack    time.Duration // how long after the deadline a final answer still counts
+	AskWithin      time.Duration // with Subscribe: after so long without a call older changes count as known
+	DrainGrace     time.Duration
+	FallMultiple   float64       // a server fails if it gets more than this multiple of its present capacity
+	OverloadWindow time.Duration // for this time
+	StartShare     float64       // a new server has at least this share of its full capacity
+	WarmAfter      time.Duration // and the full capacity after this time
 }
 
 // maxPropagationDelay is the time after which a balancer has to know of a change that discovery can be
 // asked for, whatever failures happen in between.
 const maxPropagationDelay = 6 * time.Second
 
-// ToldWithin is the time within which a balancer has to learn of a change once discovery has it and can be
-// reached. After it the change counts as known, whether or not the calls to discovery succeeded.
-func (s Safety) ToldWithin() time.Duration {
+// PropagationLimit is the time within which a balancer has to learn of a change once discovery has it and can
+// be reached. After it the change counts as known, whether or not the calls to discovery succeeded.
+func (s Safety) PropagationLimit() time.Duration {
 	if s.AskWithin > 0 {
 		return min(s.AskWithin, maxPropagationDelay)
 	}
@@ -120,7 +120,7 @@
 type Limits struct {
 	Cancel        bool
 	Probe         bool
-	Tell          bool
+	PeerMessages  bool
 	SecondCopies  bool // two attempts of one request may be open at once
 	RetryAfter    bool // clients are sent Action.Wait
 	MaxAttempts   int
@@ -144,17 +144,17 @@
 	OverShareWorth float64 // factor on the worth of requests beyond the tenant's share
 	WorthByWork    bool    // worth counts per unit of work instead of per request
 
-	Weights     Weights
-	Subscribe   bool // discovery answers only when called
-	Reports     Reports
-	Columns     []string // names of the values in a load report, in order
-	MarksRetry  bool
-	Safety      Safety
-	Limits      Limits
-	Prices      Prices
-	IdleClose   time.Duration
-	ConnectTime time.Duration
-	ConnStreams int
+	Weights            Weights
+	Subscribe          bool // discovery answers only when called
+	Reports            Reports
+	Columns            []string // names of the values in a load report, in order
+	ClientsMarkRetries bool
+	Safety             Safety
+	Limits             Limits
+	Prices             Prices
+	IdleClose          time.Duration
+	ConnectTime        time.Duration
+	ConnStreams        int
 
 	Marks bool // also return Mark actions
 }
@@ -162,18 +162,18 @@
 // Status is the result of an attempt or a probe.
 type Status uint16
 
-// Results. Full, ConnectFailed and Moot prove that the server never ran the attempt.
+// Results. Full, ConnectFailed and NotRun prove that the server never ran the attempt.
 const (
-	Errored       Status = 0
-	OK            Status = 1
-	Full          Status = 2 // the server rejected the request
-	TimedOut      Status = 3
-	ConnectFailed Status = 4
-	Reset         Status = 5
-	Cancelled     Status = 6
-	Moot          Status = 7
-	Spoilt        Status = 8 // the answer cannot be parsed; the request has run
-	Stale         Status = 9 // a reused connection broke: weak evidence against the server; may have run
+	Errored         Status = 0
+	OK              Status = 1
+	Full            Status = 2 // the server rejected the request
+	TimedOut        Status = 3
+	ConnectFailed   Status = 4
+	Reset           Status = 5
+	Cancelled       Status = 6
+	NotRun          Status = 7
+	Unreadable      Status = 8 // the answer cannot be parsed; the request has run
+	StaleConnection Status = 9 // a reused connection broke: weak evidence against the server; may have run
 )
 
 // ListKind defines what a Members event carries.
@@ -181,11 +181,11 @@
 
 // Kinds of list.
 const (
-	ListFull   ListKind = 0
-	ListFailed ListKind = 1 // a Watch or Fetch failed, or the subscription broke; the old list stays valid
-	ListDelta  ListKind = 2
-	ListCached ListKind = 3
-	ListMoved  ListKind = 4 // the source of the list changed; the old list stays valid until the next one
+	ListFull          ListKind = 0
+	ListFailed        ListKind = 1 // a Watch, a Fetch or the subscription failed; the old list stays valid
+	ListDelta         ListKind = 2
+	ListCached        ListKind = 3
+	ListSourceChanged ListKind = 4 // the list's source changed; the old list stays valid until the next one
 )
 
 // EventKind defines which fields of an Event are set.
@@ -193,41 +193,41 @@
 
 // Kinds of event, with the fields that they set.
 const (
-	Members EventKind = iota + 1 // List, Servers, Version; Status for ListFailed (TimedOut: no answer)
-	Request                      // ID, Key, Class, Tenant, Budget, Work, Repeat, Write, Long
-	First                        // ID, Attempt, Server, Latency: the start of a streamed answer arrived
-	Outcome                      // ID, Attempt, Server, Status, Latency, Done, Load, Fresh
-	Left                         // ID: the client gave up; the request is done
-	Probed                       // Server, Status, Latency, Load
-	Timer                        // Token
-	Peer                         // From, Data
+	Members       EventKind = iota + 1 // List, Servers, Version; Status for ListFailed (TimedOut: no answer)
+	Request                            // ID, Key, Class, Tenant, Budget, Work, Repeat, Write, Uploading
+	StreamStarted                      // ID, Attempt, Server, Latency: the start of a streamed answer arrived
+	Outcome                            // ID, Attempt, Server, Status, Latency, Done, Load, NewConnection
+	ClientLeft                         // ID: the client gave up; the request is done
+	ProbeResult                        // Server, Status, Latency, Load
+	Timer                              // Token
+	PeerMessage                        // From, Data
 )
 
 // Event is an input of the Balancer. Handle only reads its slices and does not keep them.
 type Event struct {
-	Kind    EventKind
-	List    ListKind
-	Status  Status
-	Done    bool // the request is done
-	Repeat  bool // the client marked this as a retry
-	Fresh   bool // a new connection was opened for it
-	Write   bool
-	Long    bool // the client is still sending the body when an attempt starts, for an unknown time
-	Class   int
-	Tenant  int
-	Attempt int
-	From    int
-	Server  ServerID
-	ID      uint64
-	Key     uint64
-	Token   uint64
-	Version uint64
-	Budget  time.Duration // time until the client gives up this try
-	Work    time.Duration // expected work, 0 if unknown
-	Latency time.Duration
-	Load    []float32
-	Servers []Server
-	Data    []byte
+	Kind          EventKind
+	List          ListKind
+	Status        Status
+	Done          bool // the request is done
+	Repeat        bool // the client marked this as a retry
+	NewConnection bool // a new connection was opened for it
+	Write         bool
+	Uploading     bool // the client is still sending the body when an attempt starts, for an unknown time
+	Class         int
+	Tenant        int
+	Attempt       int
+	From          int
+	Server        ServerID
+	ID            uint64
+	Key           uint64
+	Token         uint64
+	Version       uint64
+	Budget        time.Duration // time until the client gives up this try
+	Work          time.Duration // expected work, 0 if unknown
+	Latency       time.Duration
+	Load          []float32
+	Servers       []Server
+	Data          []byte
 }
 
 // ActionKind defines which fields of an Action are set.
@@ -235,32 +235,32 @@
 
 // Kinds of action, with the fields that they set.
 const (
-	Send   ActionKind = iota + 1 // ID, Server, Timeout (0: until the client gives up), Before (0: no limit)
-	Refuse                       // ID, Wait: final answer; a retry is harmless
-	Fail                         // ID: final answer; the request may have run
-	Cancel                       // ID, Attempt
-	Probe                        // Server
-	Close                        // Server: close idle connections to it
-	Wake                         // Wait, Token: request a Timer event
-	Watch                        // On: subscribe to discovery
-	Fetch                        // request the whole list once
-	Tell                         // To, Data: message to a peer; To < 0 for all
-	Log                          // Text: log line for operators
-	Mark                         // Server, Text: a change of a server's health state, for traces only
+	Send     ActionKind = iota + 1 // ID, Server, Timeout (0: until the client gives up), SendBefore (0: none)
+	Refuse                         // ID, Wait: final answer; a retry is harmless
+	Fail                           // ID: final answer; the request may have run
+	Cancel                         // ID, Attempt
+	Probe                          // Server
+	Close                          // Server: close idle connections to it
+	SetTimer                       // Wait, Token: request a Timer event
+	Watch                          // On: subscribe to discovery
+	Fetch                          // request the whole list once
+	SendPeer                       // To, Data: message to a peer; To < 0 for all
+	Log                            // Text: log line for operators
+	Mark                           // Server, Text: a change of a server's health state, for traces only
 )
 
 // Action is an output of the Balancer, to be carried out at once and in the given order.
 type Action struct {
-	Kind    ActionKind
-	On      bool
-	Attempt int
-	To      int
-	Server  ServerID
-	ID      uint64
-	Token   uint64
-	Timeout time.Duration
-	Before  time.Duration // the attempt must not send its first byte from this time on
-	Wait    time.Duration
-	Text    string
-	Data    []byte
+	Kind       ActionKind
+	On         bool
+	Attempt    int
+	To         int
+	Server     ServerID
+	ID         uint64
+	Token      uint64
+	Timeout    time.Duration
+	SendBefore time.Duration // the attempt must not send its first byte from this time on
+	Wait       time.Duration
+	Text       string
+	Data       []byte
 }
--- a/decide/checker_test.go
+++ b/decide/checker_test.go
@@ -19,7 +19,7 @@
 		Balancers: 10, Tick: 5 * ms, OverShareWorth: 1,
 		Classes: []Class{class(Safe, GroupAll, 1), class(Keyed, GroupAll, 3), class(Keyed, GroupZone, 3),
 			class(Keyed, GroupCell, 10), class(Unsafe, GroupAll, 5)},
-		Safety: Safety{AnswerSlack: 20 * ms, DrainGrace: 500 * ms, FallMultiple: 3, TipAfter: time.Second,
+		Safety: Safety{AnswerSlack: 20 * ms, DrainGrace: 500 * ms, FallMultiple: 3, OverloadWindow: time.Second,
 			StartShare: 0.25, WarmAfter: 10 * time.Second},
 		Limits: Limits{Cancel: true, Probe: true, SecondCopies: true, RetryAfter: true, MaxAttempts: 4,
 			MaxRetryAfter: 2 * time.Second},
@@ -132,8 +132,8 @@
 				before = try.sentAt + r.class.Window
 			}
 		}
-		if a.Before != before {
-			t.Errorf("%v: send before %v, want %v", k.now, a.Before, before)
+		if a.SendBefore != before {
+			t.Errorf("%v: send before %v, want %v", k.now, a.SendBefore, before)
 		}
 		for _, try := range r.attempts {
 			if try.open && !k.c.Limits.SecondCopies {
@@ -175,13 +175,13 @@
 		if try := r.attempts[a.Attempt]; try.open && k.c.Limits.Cancel {
 			try.endsAt, try.status = k.now, Cancelled
 		}
-	case Wake:
+	case SetTimer:
 		k.timers = append(k.timers, Event{Kind: Timer, Token: a.Token, Latency: k.now + a.Wait})
 	case Probe:
 		if _, ok := k.listed[a.Server]; !ok || !k.c.Limits.Probe {
 			t.Errorf("%v: unexpected probe of server %d", k.now, a.Server)
 		}
-		k.timers = append(k.timers, Event{Kind: Probed, Server: a.Server, Status: Status(k.rng.IntN(2)),
+		k.timers = append(k.timers, Event{Kind: ProbeResult, Server: a.Server, Status: Status(k.rng.IntN(2)),
 			Latency: k.now + 3*ms})
 	}
 }
@@ -228,7 +228,7 @@
 				continue
 			}
 			try.open = false
-			try.mayHaveRun = try.status != Full && try.status != ConnectFailed && try.status != Moot
+			try.mayHaveRun = try.status != Full && try.status != ConnectFailed && try.status != NotRun
 			if try.status == OK && !r.done {
 				r.done = true
 				k.answers++
--- a/decide/choose_test.go
+++ b/decide/choose_test.go
@@ -239,7 +239,7 @@
 		s := &server{Server: Server{Started: time.Hour}}
 		b.now = time.Hour + c.Safety.WarmAfter/10
 		got := b.slowStartShare(s)
-		capacity := b.minCapacityShare(s) * c.Safety.TipAfter.Seconds() / base
+		capacity := b.minCapacityShare(s) * c.Safety.OverloadWindow.Seconds() / base
 		if mean := got * capacity; got > minSlowStartShare && mean+slowStartMargin*math.Sqrt(mean) > c.Safety.FallMultiple*capacity*1.001 {
 			t.Errorf("requests of %.2f s: share %.2f gives %.1f on average, too close to the limit of %.1f", base, got, mean, c.Safety.FallMultiple*capacity)
 		}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -93,7 +93,7 @@
 	// Share of a request's worth that crossing must not cost more than.
 	maxCrossingCost = 0.5
 
-	// Slow start; the window is Safety.TipAfter.
+	// Slow start; the window is Safety.OverloadWindow.
 
 	// Standard deviations of random arrivals that the credit leaves below the limit.
 	slowStartMargin = 3.0
@@ -119,7 +119,7 @@
 
 	// First calls of all balancers are spread over this time for each of them.
 	initialWatchSpread = 60 * time.Millisecond
-	// Longest wait after a first failure, as a share of Safety.ToldWithin.
+	// Longest wait after a first failure, as a share of Safety.PropagationLimit.
 	firstWatchBackoff = 0.14
 	nextWatchBackoff  = 0.3 // and after each further one
 )
@@ -132,17 +132,17 @@
 		b.handleMembers(&e)
 	case Request:
 		b.handleRequest(&e)
-	case First:
+	case StreamStarted:
 		if r := b.requests[e.ID]; r != nil {
 			r.done = true // the answer has begun to reach the client: no retry from here on
 		}
 	case Outcome:
 		b.handleOutcome(&e)
-	case Left:
+	case ClientLeft:
 		if r := b.requests[e.ID]; r != nil {
 			b.finish(r)
 		}
-	case Probed:
+	case ProbeResult:
 		b.handleProbeResult(&e)
 	case Timer:
 		b.handleTimer(e.Token)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -18,7 +18,7 @@
 		switch a.Kind {
 		case Send:
 			fmt.Println("send request", a.ID, "to server", a.Server)
-		case Wake:
+		case SetTimer:
 			fmt.Println("set a timer")
 		}
 	}
--- a/decide/finalanswer_test.go
+++ b/decide/finalanswer_test.go
@@ -14,10 +14,10 @@
 		status Status
 	}{
 		"unsafe, reset":             {Class{Effect: Unsafe}, ms, Reset},
-		"unsafe, stale connection":  {Class{Effect: Unsafe}, ms, Stale},
+		"unsafe, stale connection":  {Class{Effect: Unsafe}, ms, StaleConnection},
 		"unsafe, error":             {Class{Effect: Unsafe}, ms, Errored},
-		"unsafe, unreadable answer": {Class{Effect: Unsafe}, ms, Spoilt},
-		"keyed, window over":        {Class{Effect: Keyed, Window: time.Second}, time.Second, Stale},
+		"unsafe, unreadable answer": {Class{Effect: Unsafe}, ms, Unreadable},
+		"keyed, window over":        {Class{Effect: Keyed, Window: time.Second}, time.Second, StaleConnection},
 		"keyed, short window":       {Class{Effect: Keyed, Window: 2 * ms}, 2 * ms, Reset},
 		"keyed by zone":             {Class{Effect: Keyed, Group: GroupZone, Window: time.Second}, time.Second, Errored},
 	} {
--- a/decide/health.go
+++ b/decide/health.go
@@ -49,7 +49,7 @@
 		}
 	case Errored:
 		b.recordFailure(s, 1)
-	case Spoilt: // the server runs; only repeated unreadable answers make it useless
+	case Unreadable: // the server runs; only repeated unreadable answers make it useless
 		s.tier.recordAnswer(b.now)
 		if s.unreadable++; s.unreadable >= badResultLimit {
 			b.recordFailure(s, hardFailureWeight)
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -74,9 +74,9 @@
 		"no recent answer":    {2 * recentAnswer, []Status{Reset}, false},
 		"one failed connect":  {0, []Status{ConnectFailed, OK}, true},
 		"dead process":        {0, []Status{Reset, ConnectFailed, ConnectFailed, ConnectFailed}, false},
-		"stale connections":   {0, []Status{Stale, Stale, Stale}, true},
-		"some unreadable":     {0, []Status{Spoilt, Spoilt, Spoilt, OK, Spoilt}, true},
-		"only unreadable":     {0, []Status{Spoilt, Spoilt, Spoilt, Spoilt}, false},
+		"stale connections":   {0, []Status{StaleConnection, StaleConnection, StaleConnection}, true},
+		"some unreadable":     {0, []Status{Unreadable, Unreadable, Unreadable, OK, Unreadable}, true},
+		"only unreadable":     {0, []Status{Unreadable, Unreadable, Unreadable, Unreadable}, false},
 	} {
 		b, now := New(testConfig(), 1), time.Hour
 		b.Handle(now, Event{Kind: Members, Servers: testServers(1)})
--- a/decide/load_test.go
+++ b/decide/load_test.go
@@ -175,7 +175,7 @@
 		b.Handle(now, Event{Kind: Members, List: ListCached, Servers: list})
 		b.tenantRequests[0], b.classes[0].workByTenant[0] = 10, 10*0.05 // requests of 50 ms
 		s := b.servers[list[0].ID]
-		retention := time.Duration(creditRetention * float64(b.config.Safety.TipAfter))
+		retention := time.Duration(creditRetention * float64(b.config.Safety.OverloadWindow))
 		s.credit = 0.999
 		earnAt := func(at time.Duration) float64 {
 			b.now = now + at
--- a/decide/members.go
+++ b/decide/members.go
@@ -10,16 +10,16 @@
 func (b *Balancer) handleMembers(e *Event) {
 	silent := e.List == ListFailed && e.Status == TimedOut
 	switch {
-	case e.List == ListMoved, silent: // a silent call has waited long enough already
+	case e.List == ListSourceChanged, silent: // a silent call has waited long enough already
 		b.discoveryFailures = 0
 		b.addAction(Action{Kind: Watch, On: true})
 		return
-	case e.List == ListFailed: // two waits and two calls have to fit into Safety.ToldWithin
+	case e.List == ListFailed: // two waits and two calls have to fit into Safety.PropagationLimit
 		maxWait := firstWatchBackoff
 		if b.discoveryFailures++; b.discoveryFailures > 1 {
 			maxWait = nextWatchBackoff
 		}
-		maxWait *= (0.1 + 0.9*b.rng.Float64()) * float64(b.config.Safety.ToldWithin())
+		maxWait *= (0.1 + 0.9*b.rng.Float64()) * float64(b.config.Safety.PropagationLimit())
 		b.setTimer(time.Duration(maxWait), timerWatch, 0, 0)
 		return
 	case e.List == ListCached && b.config.Subscribe: // changes since the cached list may be due already
--- a/decide/members_test.go
+++ b/decide/members_test.go
@@ -13,7 +13,7 @@
 	now := time.Hour
 	wait := func(acts []Action) time.Duration {
 		for _, a := range acts {
-			if a.Kind == Wake {
+			if a.Kind == SetTimer {
 				if got := b.Handle(now+a.Wait, Event{Kind: Timer, Token: a.Token}); len(got) != 1 ||
 					got[0].Kind != Watch || !got[0].On {
 					t.Fatalf("after the wait: %+v, want a Watch", got)
@@ -28,7 +28,7 @@
 	if d := wait(b.Handle(now, Event{Kind: Members, List: ListCached, Servers: testServers(4)})); d > c.Safety.DrainGrace {
 		t.Errorf("first call after %v", d)
 	}
-	limit := float64(c.Safety.ToldWithin())
+	limit := float64(c.Safety.PropagationLimit())
 	for i := range 6 {
 		share := nextWatchBackoff
 		if i == 0 {
@@ -50,7 +50,7 @@
 	b := New(testConfig(), 1)
 	wait := func(e Event) time.Duration {
 		for _, a := range b.Handle(time.Second, e) {
-			if a.Kind == Wake || a.Kind == Watch && a.On {
+			if a.Kind == SetTimer || a.Kind == Watch && a.On {
 				return a.Wait
 			}
 		}
@@ -60,10 +60,10 @@
 	for range 5 {
 		wait(failed)
 	}
-	if w := wait(Event{Kind: Members, List: ListMoved}); w != 0 {
+	if w := wait(Event{Kind: Members, List: ListSourceChanged}); w != 0 {
 		t.Errorf("called after %v, want at once", w)
 	}
-	if w := wait(failed); w <= 0 || float64(w) > firstWatchBackoff*float64(testConfig().Safety.ToldWithin()) {
+	if w := wait(failed); w <= 0 || float64(w) > firstWatchBackoff*float64(testConfig().Safety.PropagationLimit()) {
 		t.Errorf("waits %v after the first failure", w)
 	}
 }
@@ -84,7 +84,7 @@
 		if a := fail(TimedOut); a.Kind != Watch || !a.On {
 			t.Errorf("%s: silent watch: got %+v, want a Watch", name, a)
 		}
-		if a := fail(ConnectFailed); a.Kind != Wake || float64(a.Wait) < 0.1*firstWatchBackoff*float64(c.Safety.ToldWithin()) {
+		if a := fail(ConnectFailed); a.Kind != SetTimer || float64(a.Wait) < 0.1*firstWatchBackoff*float64(c.Safety.PropagationLimit()) {
 			t.Errorf("%s: next failure: got %+v, want a backoff", name, a)
 		}
 	}
@@ -105,13 +105,13 @@
 	}{
 		{"start", ListCached, 80, c.Safety.DrainGrace, false},
 		{"start of a large fleet", ListCached, 300, c.Safety.DrainGrace, false},
-		{"after a failure", ListFailed, 80, time.Duration(firstWatchBackoff * float64(c.Safety.ToldWithin())), true},
+		{"after a failure", ListFailed, 80, time.Duration(firstWatchBackoff * float64(c.Safety.PropagationLimit())), true},
 	} {
 		c.Balancers = x.balancers
 		var at []time.Duration
 		for seed := range uint64(c.Balancers) {
 			for _, a := range New(c, seed+1).Handle(time.Hour, Event{Kind: Members, List: x.first, Servers: testServers(4)}) {
-				if a.Kind == Wake {
+				if a.Kind == SetTimer {
 					at = append(at, a.Wait)
 				}
 			}
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -72,7 +72,7 @@
 	case x < 0.014 && id > 0: // a client gives up
 		if r := k.requests[id]; r != nil && !r.done {
 			r.done = true
-			k.event(Event{Kind: Left, ID: id})
+			k.event(Event{Kind: ClientLeft, ID: id})
 		}
 	}
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -11,7 +11,7 @@
 	aim := k.Aim + time.Duration(k.AimStretch*float64(e.Work))
 	r := &request{id: e.ID, class: k, arrivedAt: b.now,
 		deadline: b.now + e.Budget, aim: b.now + min(aim, e.Budget),
-		tenant: min(max(e.Tenant, 0), len(b.tenantRequests)-1), openEnded: e.Long,
+		tenant: min(max(e.Tenant, 0), len(b.tenantRequests)-1), openEnded: e.Uploading,
 		attempts: make([]attempt, 0, 2)}
 	b.requests[e.ID] = r
 	b.retryTokens = min(retryBudgetBurst, b.retryTokens+retryBudgetRatio)
@@ -63,7 +63,7 @@
 	a := Action{Kind: Send, ID: r.id, Server: target.ID}
 	if first := r.firstPossiblyRun(); r.class.Effect == Keyed &&
 		(first.sentAt < b.now || b.config.Limits.SecondCopies) {
-		a.Before = first.sentAt + r.class.Window
+		a.SendBefore = first.sentAt + r.class.Window
 	}
 	b.addAction(a)
 	if target.tier.silentSince == 0 {
@@ -152,7 +152,7 @@
 	if s.outstanding--; a.overdue {
 		s.overdue--
 	}
-	a.mayHaveRun = e.Status != Full && e.Status != ConnectFailed && e.Status != Moot
+	a.mayHaveRun = e.Status != Full && e.Status != ConnectFailed && e.Status != NotRun
 	if a.listed.Started == s.Started && s.State != Gone { // otherwise that process no longer exists
 		b.recordResult(r, a, e)
 	}
@@ -164,7 +164,7 @@
 		return
 	}
 	// Retries that cost no token: detected early, already paid for by the cancellation, or no sign of load.
-	freeRetry := e.Status == ConnectFailed || e.Status >= Moot || r.retryOnCancel
+	freeRetry := e.Status == ConnectFailed || e.Status >= NotRun || r.retryOnCancel
 	r.retryOnCancel = false
 	exhausted := b.now >= r.deadline || b.tooLate(r) || len(r.attempts) >= b.config.Limits.MaxAttempts ||
 		!b.mayRunAgain(r)
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -79,7 +79,7 @@
 		b.retryTokens = 0
 		to := b.Handle(time.Hour, Event{Kind: Request, ID: 1, Class: class, Budget: time.Second})[0].Server
 		b.retryTokens = 0
-		acts := b.Handle(time.Hour, Event{Kind: Outcome, ID: 1, Server: to, Status: Spoilt, Latency: ms})
+		acts := b.Handle(time.Hour, Event{Kind: Outcome, ID: 1, Server: to, Status: Unreadable, Latency: ms})
 		if len(acts) == 0 || (acts[0].Kind == Send) != want {
 			t.Errorf("class %d: got %+v", class, acts)
 		}
@@ -116,7 +116,7 @@
 			switch a.Kind {
 			case Send:
 				first = a.Server
-			case Wake:
+			case SetTimer:
 				wakes = append(wakes, a)
 			}
 		}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -69,14 +69,14 @@
 		{"keyed cell, full", 3, Full, 100 * ms, [3]bool{true, true, true}, true},
 		{"unsafe, cancelled", 4, Cancelled, 100 * ms, [3]bool{}, false},
 		{"unsafe, no connection", 4, ConnectFailed, 100 * ms, [3]bool{true, true, true}, true},
-		{"unsafe, never sent", 4, Moot, 100 * ms, [3]bool{true, true, true}, true},
+		{"unsafe, never sent", 4, NotRun, 100 * ms, [3]bool{true, true, true}, true},
 	}
 	for _, tt := range tests {
 		b := New(testConfig(), 1)
 		b.Handle(time.Hour, Event{Kind: Members, Servers: []Server{
 			{ID: 1, Zone: 0, Cell: 1, State: Ready}, {ID: 2, Zone: 0, Cell: 1, State: Ready},
 			{ID: 3, Zone: 0, Cell: 2, State: Ready}, {ID: 4, Zone: 1, Cell: 3, State: Ready}}})
-		mayHaveRun := tt.status != Full && tt.status != ConnectFailed && tt.status != Moot
+		mayHaveRun := tt.status != Full && tt.status != ConnectFailed && tt.status != NotRun
 		r := &request{class: &b.classes[tt.class], deadline: b.now + 2*time.Second,
 			attempts: []attempt{{target: b.servers[1], listed: b.servers[1].Server, sentAt: b.now, mayHaveRun: mayHaveRun}}}
 		b.now += tt.wait
@@ -168,7 +168,7 @@
 			}
 		}
 		for serverID, times := range recent {
-			for len(times) > 0 && times[0] <= now-c.Safety.TipAfter {
+			for len(times) > 0 && times[0] <= now-c.Safety.OverloadWindow {
 				times = times[1:]
 			}
 			recent[serverID] = times
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -46,7 +46,7 @@
 // would spend them all at once in an overload. They keep it where they are so few that this stays within
 // the margin.
 func (b *Balancer) expireCredit(s *server) {
-	retention := time.Duration(creditRetention * float64(b.config.Safety.TipAfter))
+	retention := time.Duration(creditRetention * float64(b.config.Safety.OverloadWindow))
 	switch {
 	case s.credit < 1:
 		s.fullCreditSince = b.now
@@ -67,13 +67,13 @@
 }
 
 // windowCapacity is the number of requests of mean work that a server can handle for certain within the
-// overload window (Safety.TipAfter); 0 while the mean work is unknown.
+// overload window (Safety.OverloadWindow); 0 while the mean work is unknown.
 func (b *Balancer) windowCapacity(s *server) float64 {
 	work := b.meanWork()
 	if work <= 0 {
 		return 0
 	}
-	return b.minCapacityShare(s) * b.config.Safety.TipAfter.Seconds() / work
+	return b.minCapacityShare(s) * b.config.Safety.OverloadWindow.Seconds() / work
 }
 
 // slowStartShare is the part of its usual share that a warming server gets. The number of requests in the
--- a/decide/state.go
+++ b/decide/state.go
@@ -283,6 +283,6 @@
 
 // setTimer requests a timer event; kind, attempt index and ID are packed into its token.
 func (b *Balancer) setTimer(delay time.Duration, kind, index int, id uint64) {
-	b.addAction(Action{Kind: Wake, Wait: max(delay, time.Microsecond),
+	b.addAction(Action{Kind: SetTimer, Wait: max(delay, time.Microsecond),
 		Token: uint64(kind)<<tokenKindShift | uint64(index&0xff)<<tokenAttemptShift | id})
 }
--- a/internal/enforcement/versions.go
+++ b/internal/enforcement/versions.go
@@ -125,7 +125,7 @@
 		if before != nil {
 			before(end)
 		}
-		if end.Left {
+		if end.ClientLeft {
 			return
 		}
 		for _, l := range lines {
--- a/internal/lab/fleet/attempt.go
+++ b/internal/lab/fleet/attempt.go
@@ -87,7 +87,7 @@
 		case !m.up() || a.c.life != m.life:
 			status := decide.Reset
 			if !a.fresh {
-				status = decide.Stale
+				status = decide.StaleConnection
 			}
 			a.close(status, false)
 			return
@@ -149,12 +149,12 @@
 		a.drop()
 	}
 	if a.call == nil {
-		s.tell(decide.Event{Kind: decide.Probed, Server: decide.ServerID(a.m.n + 1), Status: status, Latency: s.now - a.sent, Load: a.load()})
+		s.tell(decide.Event{Kind: decide.ProbeResult, Server: decide.ServerID(a.m.n + 1), Status: status, Latency: s.now - a.sent, Load: a.load()})
 		return
 	}
 	c := a.call
 	e := decide.Event{Kind: decide.Outcome, ID: a.local, Attempt: a.number, Server: decide.ServerID(a.m.n + 1), Status: status,
-		Latency: s.now - a.sent, Fresh: a.fresh, Done: c.over}
+		Latency: s.now - a.sent, NewConnection: a.fresh, Done: c.over}
 	if status == decide.OK && !c.over {
 		c.over, e.Done = true, true
 		s.observe(judge.Event{Kind: judge.Answered, Call: c.id, Sidecar: s.n, Status: 200, Body: a.serial})
--- a/internal/lab/fleet/call.go
+++ b/internal/lab/fleet/call.go
@@ -37,7 +37,7 @@
 		if s.life == life && !c.over {
 			c.over = true
 			s.observe(judge.Event{Kind: judge.GaveUp, Call: c.id, Sidecar: s.n})
-			s.tell(decide.Event{Kind: decide.Left, ID: local})
+			s.tell(decide.Event{Kind: decide.ClientLeft, ID: local})
 			s.ended(c, world.GivenUp, 0)
 		}
 	})
@@ -96,7 +96,7 @@
 	}
 	a.connect(func() {
 		if e, ok := s.view[worker]; !ok || e.State != world.Up {
-			a.close(decide.Moot, true)
+			a.close(decide.NotRun, true)
 			return
 		}
 		a.arrive(work)
--- a/internal/lab/fleet/sidecar.go
+++ b/internal/lab/fleet/sidecar.go
@@ -108,9 +108,9 @@
 	coldest, longest := p.Coldest()
 	c := decide.Config{Zone: s.hall(), Ordinal: s.n, Balancers: len(p.Sidecar), Tick: time.Millisecond, OverShareWorth: 1,
 		Weights: decide.WeightsRough, Subscribe: !p.Registry.Pushed, Reports: decide.ReportsProbe, Columns: []string{"util", "eps", "queue"},
-		MarksRetry: p.Clients.Marks, IdleClose: p.Conn.Idle, ConnectTime: p.Conn.Connect, ConnStreams: 1, Marks: true,
+		ClientsMarkRetries: p.Clients.Marks, IdleClose: p.Conn.Idle, ConnectTime: p.Conn.Connect, ConnStreams: 1, Marks: true,
 		Safety: decide.Safety{AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second, DrainGrace: p.Rules.DrainGrace,
-			FallMultiple: p.Rules.FallMultiple, TipAfter: p.Rules.FallTime, StartShare: coldest, WarmAfter: longest},
+			FallMultiple: p.Rules.FallMultiple, OverloadWindow: p.Rules.FallTime, StartShare: coldest, WarmAfter: longest},
 		Limits: decide.Limits{Cancel: true, Probe: true, SecondCopies: p.Rules.Copies, RetryAfter: true, MaxAttempts: p.Rules.MaxAttempts, MaxRetryAfter: p.Rules.MaxRetry},
 		Prices: decide.Prices{CrossZone: p.Goal.Cross, Waste: p.Goal.Waste, Probe: p.Goal.Probe, LateFail: p.Goal.LateFail}}
 	effects := map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}
@@ -156,7 +156,7 @@
 			s.probe(int(a.Server) - 1)
 		case decide.Close:
 			s.release(int(a.Server) - 1)
-		case decide.Wake:
+		case decide.SetTimer:
 			s.after(a.Wait, func() {
 				if s.life == life {
 					s.tell(decide.Event{Kind: decide.Timer, Token: a.Token})
--- a/internal/lab/reference/rotation.go
+++ b/internal/lab/reference/rotation.go
@@ -41,7 +41,7 @@
 		p.calls[e.ID] = true
 		p.next++
 		return []decide.Action{{Kind: decide.Send, ID: e.ID, Server: p.up[p.next%len(p.up)].ID}}
-	case decide.Left:
+	case decide.ClientLeft:
 		if p.calls[e.ID] {
 			delete(p.calls, e.ID)
 			return []decide.Action{{Kind: decide.Cancel, ID: e.ID}}
@@ -62,7 +62,7 @@
 
 func (p *Rotation) members(e *decide.Event) []decide.Action {
 	if e.List == decide.ListFailed {
-		return []decide.Action{{Kind: decide.Wake, Wait: watchPause}}
+		return []decide.Action{{Kind: decide.SetTimer, Wait: watchPause}}
 	}
 	if e.List != decide.ListDelta {
 		p.up = nil
--- a/internal/lab/reference/rotation_test.go
+++ b/internal/lab/reference/rotation_test.go
@@ -26,7 +26,7 @@
 	if got := list(decide.ListCached, up(3), up(1), up(2)); len(got) != 1 || got[0].Kind != decide.Watch {
 		t.Errorf("after the first list: %v", got)
 	}
-	if got := list(decide.ListFailed); len(got) != 1 || got[0].Kind != decide.Wake || got[0].Wait <= 0 {
+	if got := list(decide.ListFailed); len(got) != 1 || got[0].Kind != decide.SetTimer || got[0].Wait <= 0 {
 		t.Errorf("after a failed watch: %v", got)
 	}
 	list(decide.ListDelta, decide.Server{ID: 2, State: decide.Draining}, up(4), decide.Server{ID: 9, State: decide.Gone})
@@ -44,7 +44,7 @@
 		{decide.Event{Kind: decide.Outcome, Status: decide.OK, Done: true}, nil},
 		{decide.Event{Kind: decide.Outcome, Status: decide.Full}, []decide.ActionKind{decide.Refuse}},
 		{decide.Event{Kind: decide.Outcome, Status: decide.Reset}, []decide.ActionKind{decide.Fail}},
-		{decide.Event{Kind: decide.Left}, []decide.ActionKind{decide.Cancel}},
+		{decide.Event{Kind: decide.ClientLeft}, []decide.ActionKind{decide.Cancel}},
 	} {
 		test.e.ID = uint64(id)
 		var got []decide.ActionKind
--- a/internal/program/gate_test.go
+++ b/internal/program/gate_test.go
@@ -169,7 +169,7 @@
 		protocol.Origin{Caller: "app", Key: "k", Version: "v2", Path: "/v2/s"}, protocol.Origin{},
 		protocol.Origin{Version: "v1", Path: "/v1"}, protocol.Origin{Version: "x", Path: "/x"},
 		routing.End{Verdict: protocol.Served, Ran: true}, routing.End{Verdict: protocol.Served, Ran: true},
-		routing.End{Verdict: protocol.Failed, Ran: true}, routing.End{Verdict: protocol.Failed, Left: true, Ran: true},
+		routing.End{Verdict: protocol.Failed, Ran: true}, routing.End{Verdict: protocol.Failed, ClientLeft: true, Ran: true},
 	}
 	if diff := cmp.Diff(want, got); diff != "" || calls.Load() != 4 {
 		t.Errorf("asked %d times (-want +got)\n%s", calls.Load(), diff)
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -12,17 +12,17 @@
 // Call is one request of a client. Its message is complete, or, if Upload is set, read up to the window that is kept for
 // resending.
 type Call struct {
-	ID      []byte        // the client's trace ID, for the log; valid until the call ends
-	Class   int           // index in the settings
-	Tenant  int           // index in the settings, 0 if there are none
-	Budget  time.Duration // until the client gives up on this request, less a margin for the response's way back
-	Repeat  bool          // marked by the client as a retry
-	Write   bool
-	Message Message
-	Left    <-chan struct{} // closed when the client has disconnected
-	Present func() bool     // checks whether the client is still connected; after a false result Left is closed or the call has ended; nil if that is unknown
-	Upload  Upload          // the rest of a long message; nil if the message is complete
-	Origin  *Origin         // what rules match on; nil if no rules are in use
+	ID         []byte        // the client's trace ID, for the log; valid until the call ends
+	Class      int           // index in the settings
+	Tenant     int           // index in the settings, 0 if there are none
+	Budget     time.Duration // until the client gives up on this request, less a margin for the response's way back
+	Repeat     bool          // marked by the client as a retry
+	Write      bool
+	Message    Message
+	ClientLeft <-chan struct{} // closed when the client has disconnected
+	Present    func() bool     // checks whether the client is still connected; after a false result ClientLeft is closed or the call has ended; nil if that is unknown
+	Upload     Upload          // the rest of a long message; nil if the message is complete
+	Origin     *Origin         // what rules match on; nil if no rules are in use
 }
 
 // Upload is the part of a call's message that is still to come.
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -333,7 +333,7 @@
 	c.overload.begin(c.Closing)
 	defer c.overload.end()
 	watcher := c.newDisconnectWatcher()
-	call.Left, call.Present = watcher.disconnected, watcher.isConnected
+	call.ClientLeft, call.Present = watcher.disconnected, watcher.isConnected
 	if c.upload == nil {
 		c.Hold()
 	}
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -99,7 +99,7 @@
 	inFlight := make([]*attempt, 0, 2)                  // attempts without a result yet
 	results := make(chan transport.Result, maxInFlight) // of the attempts; buffered for all of them, so that no sender blocks
 	var final *protocol.Answer                          // the final answer, once decided
-	clientLeft, endCalls := call.Left, r.endCalls
+	clientLeft, endCalls := call.ClientLeft, r.endCalls
 	var uploadComplete <-chan struct{} // closed when the rest of a long message has been read
 	if call.Upload != nil {
 		uploadComplete = call.Upload.Whole()
@@ -107,7 +107,7 @@
 	handleClientLeft := func() {
 		clientLeft = nil
 		active.clientLeft.Store(true)
-		r.dispatch(decide.Event{Kind: decide.Left, ID: active.id}) // the balancer may cancel the attempts
+		r.dispatch(decide.Event{Kind: decide.ClientLeft, ID: active.id}) // the balancer may cancel the attempts
 	}
 	for {
 		select {
@@ -124,7 +124,7 @@
 				if len(inFlight) == 0 && final == nil {
 					final = active.exhaustedAnswer()
 				}
-				r.dispatch(active.outcomeEvent(&attempt{number: active.attempts, worker: cmd.Server}, decide.Moot, final != nil))
+				r.dispatch(active.outcomeEvent(&attempt{number: active.attempts, worker: cmd.Server}, decide.NotRun, final != nil))
 				active.attempts++
 			case cmd.Kind == decide.Cancel &&
 				(clientLeft == nil || active.allowsAttempt(0) && !active.policy.Once): // otherwise it would be cancelled only to be sent again
@@ -167,7 +167,7 @@
 				result.Rest.Close(false)
 			case final == nil && call.Upload != nil && call.Upload.Begun(): // part of the message was passed on and cannot be sent again
 				final = &protocol.Answer{Verdict: protocol.Failed}
-				if status == decide.Full || status == decide.ConnectFailed || status == decide.Moot {
+				if status == decide.Full || status == decide.ConnectFailed || status == decide.NotRun {
 					final.Verdict = protocol.Refused
 				}
 			}
@@ -220,7 +220,7 @@
 
 // giveUp ends a call without a decision of the balancer, which is notified that the call is over.
 func (r *Router) giveUp(active *activeCall, inFlight []*attempt) *protocol.Answer {
-	r.dispatch(decide.Event{Kind: decide.Left, ID: active.id})
+	r.dispatch(decide.Event{Kind: decide.ClientLeft, ID: active.id})
 	abortAll(inFlight)
 	return &protocol.Answer{Verdict: protocol.Expired}
 }
@@ -263,7 +263,7 @@
 	active.id = r.lastCall
 	r.calls[active.id] = active
 	actions := r.handle(decide.Event{Kind: decide.Request, ID: active.id, Class: call.Class, Tenant: call.Tenant,
-		Long: call.Upload != nil, Budget: call.Budget, Repeat: call.Repeat, Write: call.Write})
+		Uploading: call.Upload != nil, Budget: call.Budget, Repeat: call.Repeat, Write: call.Write})
 	r.mu.Unlock()
 	r.execute(actions)
 }
@@ -306,13 +306,13 @@
 // outcomeEvent returns the balancer's event for how an attempt ended.
 func (c *activeCall) outcomeEvent(a *attempt, status decide.Status, done bool) decide.Event {
 	event := decide.Event{Kind: decide.Outcome, ID: c.id, Attempt: a.number, Server: a.worker, Status: status, Done: done}
-	if a.Reply != nil && status != decide.Moot {
+	if a.Reply != nil && status != decide.NotRun {
 		event.Latency = time.Since(a.startedAt)
 	}
 	if a.complete { // the connection's goroutine may still be reading the answer of an aborted attempt
 		event.Load = a.Reply.Load
 	}
-	event.Fresh = a.newConnection
+	event.NewConnection = a.newConnection
 	return event
 }
 
@@ -320,7 +320,7 @@
 // not count against it.
 func (a *attempt) status(result transport.Result, clientLeft bool) decide.Status {
 	if clientLeft && !result.Sent {
-		return decide.Moot
+		return decide.NotRun
 	}
 	if result.Err != nil {
 		return failureStatus(result, a.timedOut)
@@ -343,14 +343,14 @@
 	case errors.Is(result.Err, transport.ErrAborted) && result.Sent:
 		return decide.Cancelled
 	case result.Sent && (protocol.IsMalformed(result.Err) || errors.Is(result.Err, transport.ErrEarly)):
-		return decide.Spoilt // the worker did answer, but not validly
+		return decide.Unreadable // the worker did answer, but not validly
 	case !result.Sent && errors.Is(result.Err, transport.ErrLocal):
-		return decide.Moot // not executed, and says nothing about the worker
+		return decide.NotRun // not executed, and says nothing about the worker
 	case errors.Is(result.Err, transport.ErrAborted), errors.Is(result.Err, transport.ErrCrowded),
 		errors.Is(result.Err, transport.ErrSource), errors.Is(result.Err, transport.ErrRevoked), errors.Is(result.Err, transport.ErrEarly):
-		return decide.Moot // says nothing about the worker
+		return decide.NotRun // says nothing about the worker
 	case result.Sent && result.Kept: // the worker may have closed the kept-alive connection meanwhile
-		return decide.Stale
+		return decide.StaleConnection
 	case result.Sent:
 		return decide.Reset
 	}
--- a/internal/routing/concurrent_attempts_test.go
+++ b/internal/routing/concurrent_attempts_test.go
@@ -109,7 +109,7 @@
 			router := New(ctx, Config{Decide: decide.Config{Subscribe: true, Zone: 0,
 				Classes: []decide.Class{{Aim: 3 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateWorth: 1},
 					{Aim: 900 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Unsafe}},
-				Safety: decide.Safety{FallMultiple: 3, TipAfter: time.Second, StartShare: 0.5},
+				Safety: decide.Safety{FallMultiple: 3, OverloadWindow: time.Second, StartShare: 0.5},
 				Limits: decide.Limits{SecondCopies: true, Cancel: true, MaxAttempts: 2}},
 				Network: network, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{""}},
 				Workers: &protocol.Workers{Pool: transport.NewPool(network, transport.NewBudget(9), 5*time.Second, time.Minute)}},
@@ -118,10 +118,10 @@
 			answers := make(chan protocol.Answer, 1)
 			evidence := make(chan struct{}) // a single call in flight would be no evidence against its worker
 			defer close(evidence)
-			go router.Serve(&protocol.Call{Class: 1, Budget: 10 * time.Second, Message: plainMessage{}, Left: evidence})
+			go router.Serve(&protocol.Call{Class: 1, Budget: 10 * time.Second, Message: plainMessage{}, ClientLeft: evidence})
 			receive(t, accepted[0])
 			go func() {
-				answers <- router.Serve(&protocol.Call{Budget: 10 * time.Second, Message: plainMessage{}, Left: f.clientLeft})
+				answers <- router.Serve(&protocol.Call{Budget: 10 * time.Second, Message: plainMessage{}, ClientLeft: f.clientLeft})
 			}()
 			f.first = receive(t, accepted[0]) // the only worker listed so far
 			network.mu.Lock()
--- a/internal/routing/first_byte_test.go
+++ b/internal/routing/first_byte_test.go
@@ -58,7 +58,7 @@
 	}
 	class.Aim, class.Deadline, class.Worth = cmp.Or(class.Aim, time.Minute), time.Minute, 1
 	c := Config{Decide: decide.Config{Subscribe: true, Classes: []decide.Class{class},
-		Safety: decide.Safety{FallMultiple: 3, TipAfter: time.Second, StartShare: 0.5},
+		Safety: decide.Safety{FallMultiple: 3, OverloadWindow: time.Second, StartShare: 0.5},
 		Limits: decide.Limits{MaxAttempts: 4}},
 		Network: s.gatedNetwork, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{"hall"}},
 		Workers: &protocol.Workers{Pool: transport.NewPool(s.gatedNetwork, transport.NewBudget(9), time.Minute, time.Minute)}}
@@ -91,7 +91,7 @@
 // serve starts a call whose answer arrives on answers.
 func (s *testSidecar) serve() {
 	go func() {
-		s.answers <- s.Serve(&protocol.Call{Budget: 30 * time.Second, Message: timedMessage{}, Left: s.left})
+		s.answers <- s.Serve(&protocol.Call{Budget: 30 * time.Second, Message: timedMessage{}, ClientLeft: s.left})
 	}()
 }
 
@@ -233,7 +233,7 @@
 	io.WriteString(kept, okAnswer)
 	s.expectServed(t)
 
-	active := &activeCall{call: &protocol.Call{Budget: time.Minute, Message: timedMessage{}, Left: ctx.Done()}}
+	active := &activeCall{call: &protocol.Call{Budget: time.Minute, Message: timedMessage{}, ClientLeft: ctx.Done()}}
 	s.addCall(active) // the balancer has chosen the worker
 	restarted := s.instance(0)
 	restarted.StartedMs = time.Now().UnixMilli()
--- a/internal/routing/gate.go
+++ b/internal/routing/gate.go
@@ -35,9 +35,9 @@
 
 // End describes how a call ended.
 type End struct {
-	Verdict protocol.Verdict // Failed if the client left
-	Left    bool             // the client left before there was an answer
-	Ran     bool             // a worker may have executed it
+	Verdict    protocol.Verdict // Failed if the client left
+	ClientLeft bool             // the client left before there was an answer
+	Ran        bool             // a worker may have executed it
 }
 
 // admit asks the gate for the terms of a call. An answer that is not nil is the call's final one.
@@ -78,7 +78,7 @@
 
 // mayHaveRun reports whether a worker may have executed an attempt that ended with this status.
 func mayHaveRun(status decide.Status) bool {
-	return status != decide.Full && status != decide.ConnectFailed && status != decide.Moot
+	return status != decide.Full && status != decide.ConnectFailed && status != decide.NotRun
 }
 
 // finish adds the header and callback of the terms to the final answer and notifies the gate.
@@ -89,7 +89,7 @@
 		answer.Written = func() { onWritten(verdict) }
 	}
 	if c.policy.Ended != nil {
-		c.policy.Ended(End{Verdict: answer.Verdict, Left: !answered, Ran: c.mayHaveRun || answer.Verdict == protocol.Served})
+		c.policy.Ended(End{Verdict: answer.Verdict, ClientLeft: !answered, Ran: c.mayHaveRun || answer.Verdict == protocol.Served})
 	}
 	return answer
 }
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -36,7 +36,7 @@
 	r.unsubscribe()
 	r.registrySource = registrySource{addr, r.epoch + 1}
 	r.listFromOldRegistry = true
-	actions := r.handle(decide.Event{Kind: decide.Members, List: decide.ListMoved})
+	actions := r.handle(decide.Event{Kind: decide.Members, List: decide.ListSourceChanged})
 	r.mu.Unlock()
 	r.execute(actions)
 }
@@ -84,7 +84,7 @@
 // returns that error, or nil if this sidecar ended the watch.
 func (r *Router) runWatch(sub *subscription) error {
 	defer sub.cancel()
-	timeouts := newRegistryTimeouts(r.Decide.Safety.ToldWithin())
+	timeouts := newRegistryTimeouts(r.Decide.Safety.PropagationLimit())
 	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr}
 	defer registry.Close()
 	for {
@@ -130,7 +130,7 @@
 	sub := &subscription{registrySource: r.registrySource}
 	r.mu.Unlock()
 	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr,
-		Grace: newRegistryTimeouts(r.Decide.Safety.ToldWithin()).fetchTimeout}
+		Grace: newRegistryTimeouts(r.Decide.Safety.PropagationLimit()).fetchTimeout}
 	defer registry.Close()
 	list, err := registry.Fetch(r.ctx)
 	if err != nil {
--- a/internal/routing/registry_test.go
+++ b/internal/routing/registry_test.go
@@ -205,7 +205,7 @@
 
 // newRegistryClient starts a router; the test runs it on virtual time.
 func newRegistryClient(t *testing.T, balancers int, safety decide.Safety) *registryClient {
-	c := &registryClient{fakeRegistry: &fakeRegistry{generation: 1, changed: make(chan struct{}), learnWithin: safety.ToldWithin()},
+	c := &registryClient{fakeRegistry: &fakeRegistry{generation: 1, changed: make(chan struct{}), learnWithin: safety.PropagationLimit()},
 		learned: map[uint64]bool{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -168,7 +168,7 @@
 func (r *Router) execute(actions []decide.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case decide.Wake:
+		case decide.SetTimer:
 			time.AfterFunc(a.Wait, func() { r.dispatch(decide.Event{Kind: decide.Timer, Token: a.Token}) })
 		case decide.Probe:
 			go r.probe(a.Server)
@@ -212,7 +212,7 @@
 func (r *Router) mayStart(cmd command) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.isCurrentLocked(cmd.Server, cmd.peer) && (cmd.Before == 0 || r.now() < cmd.Before)
+	return r.isCurrentLocked(cmd.Server, cmd.peer) && (cmd.SendBefore == 0 || r.now() < cmd.SendBefore)
 }
 
 // isCurrent reports whether a worker is listed up with the address and start time that it had when it was chosen.
@@ -234,7 +234,7 @@
 
 // probe asks a worker for its load report and dispatches exactly one result to the balancer.
 func (r *Router) probe(id decide.ServerID) {
-	event := decide.Event{Kind: decide.Probed, Server: id, Status: decide.ConnectFailed}
+	event := decide.Event{Kind: decide.ProbeResult, Server: id, Status: decide.ConnectFailed}
 	startedAt := time.Now()
 	if w := r.findWorker(id); w != nil {
 		a := r.Workers.Start(w.peer, protocol.Probe(), startedAt.Add(probeTimeout), probeGuard{r, w}, protocol.Return{})
--- a/internal/routing/times.go
+++ b/internal/routing/times.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Shares of the time within which the sidecar must learn of a change (decide.Safety.ToldWithin), whatever happens to its
+// Shares of the time within which the sidecar must learn of a change (decide.Safety.PropagationLimit), whatever happens to its
 // exchanges with the registry. The registry may have a change right after a watch stopped responding, after an exchange that
 // failed, or in the middle of either. Together with the balancer's delays after failed exchanges (decide: watchFirst,
 // watchRetry), every sequence of one timeout and one further failure ends within that time if the registry then answers at
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -237,8 +237,8 @@
 }
 
 func eventText(e decide.Event) string {
-	names := map[decide.EventKind]string{decide.Members: "members", decide.Request: "request", decide.Outcome: "outcome", decide.Left: "left",
-		decide.Probed: "probed", decide.Timer: "timer"}
+	names := map[decide.EventKind]string{decide.Members: "members", decide.Request: "request", decide.Outcome: "outcome", decide.ClientLeft: "left",
+		decide.ProbeResult: "probed", decide.Timer: "timer"}
 	text := fmt.Sprintf("%s call %d", names[e.Kind], e.ID)
 	switch e.Kind {
 	case decide.Members:
@@ -250,7 +250,7 @@
 		text += fmt.Sprintf(" attempt %d at server %d: status %d after %v, over %v", e.Attempt, e.Server, e.Status, e.Latency, e.Done)
 	case decide.Request:
 		text += fmt.Sprintf(" class %d budget %v", e.Class, e.Budget)
-	case decide.Probed:
+	case decide.ProbeResult:
 		text = fmt.Sprintf("probed server %d: status %d %v", e.Server, e.Status, e.Load)
 	case decide.Timer:
 		text = fmt.Sprintf("timer %x", e.Token)
@@ -272,7 +272,7 @@
 		return fmt.Sprintf("probe server %d", a.Server)
 	case decide.Close:
 		return fmt.Sprintf("close idle to server %d", a.Server)
-	case decide.Wake:
+	case decide.SetTimer:
 		return fmt.Sprintf("wake in %v for %x", a.Wait, a.Token)
 	case decide.Watch:
 		return fmt.Sprintf("watch %v", a.On)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -31,8 +31,8 @@
 
 func (w *Writer) addNumber(key string, value int64) { w.addText(key, strconv.FormatInt(value, 10)) }
 
-var eventNames = [...]string{decide.Members: "list", decide.Request: "call", decide.First: "first",
-	decide.Outcome: "outcome", decide.Left: "left", decide.Probed: "probed", decide.Timer: "timer", decide.Peer: "peer"}
+var eventNames = [...]string{decide.Members: "list", decide.Request: "call", decide.StreamStarted: "first",
+	decide.Outcome: "outcome", decide.ClientLeft: "left", decide.ProbeResult: "probed", decide.Timer: "timer", decide.PeerMessage: "peer"}
 
 var statusNames = [...]string{"error", "ok", "full", "timeout", "connect", "reset", "cancelled", "moot", "spoilt", "stale"}
 
@@ -85,7 +85,7 @@
 		w.addNumber("id", int64(e.ID))
 		w.addNumber("class", int64(e.Class))
 		w.addNumber("budget", e.Budget.Microseconds())
-	case decide.Outcome, decide.Probed:
+	case decide.Outcome, decide.ProbeResult:
 		if e.Kind == decide.Outcome {
 			w.addNumber("id", int64(e.ID))
 			w.addNumber("try", int64(e.Attempt))
@@ -93,10 +93,10 @@
 		w.addText("worker", workerName(e.Server))
 		w.addText("status", StatusName(e.Status))
 		w.addNumber("took", e.Latency.Microseconds())
-		if e.Fresh {
+		if e.NewConnection {
 			w.addNumber("fresh", 1)
 		}
-	case decide.Left:
+	case decide.ClientLeft:
 		w.addNumber("id", int64(e.ID))
 	}
 	for i := range actions {
--- a/wire/encoder.go
+++ b/wire/encoder.go
@@ -77,7 +77,7 @@
 	case decide.Close:
 		e.beginRecord(actionClose, 4)
 		e.u32(uint32(a.Server))
-	case decide.Wake:
+	case decide.SetTimer:
 		e.beginRecord(actionTimer, 12)
 		e.u32(toMicros(a.Wait))
 		e.u64(a.Token)
@@ -86,7 +86,7 @@
 		e.buf = append(e.buf, boolByte(a.On))
 	case decide.Fetch:
 		e.beginRecord(actionFetch, 0)
-	case decide.Tell:
+	case decide.SendPeer:
 		to := uint16(math.MaxUint16)
 		if a.To >= 0 {
 			to = uint16(a.To)
--- a/wire/record.go
+++ b/wire/record.go
@@ -73,7 +73,7 @@
 		}
 		e.Repeat, e.Write = flags&flagRepeat != 0, flags&flagWrite != 0
 	case eventFirstByte:
-		name, e.Kind = "flowing", decide.First
+		name, e.Kind = "flowing", decide.StreamStarted
 		c.attempt(e)
 		e.Latency = fromMicros(uint64(c.u32()))
 	case eventAttemptEnded:
@@ -83,18 +83,18 @@
 		e.Done = c.u8() != 0
 		e.Load = c.floats()
 	case eventProbeResult:
-		name, e.Kind = "status_back", decide.Probed
+		name, e.Kind = "status_back", decide.ProbeResult
 		e.Server = decide.ServerID(c.u32())
 		e.Status, e.Latency = decide.Status(c.u16()), fromMicros(uint64(c.u32()))
 		e.Load = c.floats()
 	case eventClientLeft:
-		name, e.Kind = "abandoned", decide.Left
+		name, e.Kind = "abandoned", decide.ClientLeft
 		e.ID = c.u64()
 	case eventTimer:
 		name, e.Kind = "elapsed", decide.Timer
 		e.Token = c.u64()
 	case eventPeerMessage:
-		name, e.Kind = "inbox", decide.Peer
+		name, e.Kind = "inbox", decide.PeerMessage
 		e.From = int(c.u16())
 		e.Data = c.bytes(int64(c.u16()))
 	default:
@@ -103,7 +103,7 @@
 	if err := c.finish(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	if e.Status > decide.Moot {
+	if e.Status > decide.NotRun {
 		return fmt.Errorf("%s: unknown outcome %d", name, e.Status)
 	}
 	return nil
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -89,7 +89,7 @@
 		{Op: Deliver, Instance: 3, Event: decide.Event{Kind: decide.Request, ID: 0x56b435d3a91c4,
 			Key: 0x91f03b7c55d20a64, Budget: 240 * time.Millisecond, Work: 12 * time.Millisecond}},
 		{Op: Deliver, Instance: 3, Event: decide.Event{Kind: decide.Timer, Token: 0x4d}},
-		{Op: Deliver, Instance: 5, Event: decide.Event{Kind: decide.Left, ID: 0xdde210e6f2b19}},
+		{Op: Deliver, Instance: 5, Event: decide.Event{Kind: decide.ClientLeft, ID: 0xdde210e6f2b19}},
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
@@ -109,13 +109,13 @@
 			}}},
 		{"18 01 09 0000000000000000", decide.Event{Kind: decide.Members, List: decide.ListFailed}},
 		{"13 0700000000000000 0200 05000000 e8030000",
-			decide.Event{Kind: decide.First, ID: 7, Attempt: 2, Server: 5, Latency: ms}},
+			decide.Event{Kind: decide.StreamStarted, ID: 7, Attempt: 2, Server: 5, Latency: ms}},
 		{"16 0700000000000000 0200 05000000 0300 e8030000 01 02 0000803f 00000040",
 			decide.Event{Kind: decide.Outcome, ID: 7, Attempt: 2, Server: 5, Status: decide.TimedOut,
 				Latency: ms, Done: true, Load: []float32{1, 2}}},
 		{"10 05000000 0100 e8030000 00",
-			decide.Event{Kind: decide.Probed, Server: 5, Status: decide.OK, Latency: ms}},
-		{"15 0200 0400 68692037", decide.Event{Kind: decide.Peer, From: 2, Data: []byte("hi 7")}},
+			decide.Event{Kind: decide.ProbeResult, Server: 5, Status: decide.OK, Latency: ms}},
+		{"15 0200 0400 68692037", decide.Event{Kind: decide.PeerMessage, From: 2, Data: []byte("hi 7")}},
 		{"1a 0700000000000000 0000000000000000 02 e8030000 03000000 e8030000 0600",
 			decide.Event{Kind: decide.Request, ID: 7, Class: 2, Budget: ms, Tenant: 3, Repeat: true, Write: true}},
 	}
@@ -186,7 +186,7 @@
 	e.Reset()
 	e.Actions(3, []decide.Action{
 		{Kind: decide.Send, ID: 0x56b435d3a91c4, Server: 0x03124a07, Timeout: 80 * time.Millisecond},
-		{Kind: decide.Wake, Wait: 500 * time.Millisecond, Token: 0x4d}})
+		{Kind: decide.SetTimer, Wait: 500 * time.Millisecond, Token: 0x4d}})
 	e.Actions(5, []decide.Action{{Kind: decide.Log, Text: "two servers known"}})
 	if got := hex.EncodeToString(e.Bytes()); got != exampleReply {
 		t.Errorf("got  %s\nwant %s", got, exampleReply)
@@ -206,8 +206,8 @@
 		{decide.Action{Kind: decide.Watch, On: true}, "1a0100000001"},
 		{decide.Action{Kind: decide.Watch}, "1a0100000000"},
 		{decide.Action{Kind: decide.Fetch}, "1b00000000"},
-		{decide.Action{Kind: decide.Tell, To: -1, Data: []byte("hi 7")}, "1708000000ffff040068692037"},
-		{decide.Action{Kind: decide.Wake, Wait: 1, Token: 1}, "140c000000010000000100000000000000"},
+		{decide.Action{Kind: decide.SendPeer, To: -1, Data: []byte("hi 7")}, "1708000000ffff040068692037"},
+		{decide.Action{Kind: decide.SetTimer, Wait: 1, Token: 1}, "140c000000010000000100000000000000"},
 		{decide.Action{Kind: decide.Send, Timeout: 1 << 62}, "1010000000000000000000000000000000ffffffff"},
 	}
 	for _, tt := range tests {
