--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -112,7 +112,7 @@
 // Drain steers clients away: it closes idle connections and makes every response close its connection.
 func (h *adminHandler) Drain() {
 	h.s.drained.Store(true)
-	h.s.listener.CloseResting()
+	h.s.listener.CloseIdle()
 }
 
 // Undrain ends the effect of Drain.
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -71,7 +71,7 @@
 
 // New opens the listeners, divides the sockets among clients and workers, and opens the cluster member, as configured.
 func New(network transport.Network, cfg *Config, logger *slog.Logger) (*Sidecar, error) {
-	clients, reserved, workers := transport.Split(cfg.Limits.Sockets, operatorSockets(cfg))
+	clients, reserved, workers := transport.SplitDescriptors(cfg.Limits.Sockets, operatorSockets(cfg))
 	listener, err := listenForClients(network, cfg, clients, reserved)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_ACCEPT_FD: %w", err)
 	}
-	return transport.Serve(listener, clients, reserved), nil
+	return transport.NewListener(listener, clients, reserved), nil
 }
 
 // AdminAddr is the address of the admin listener, or nil if there is none.
--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -26,7 +26,7 @@
 	c.broken = true // the write side is closed already
 	end := time.Now().Add(discardTimeout)
 	for n := 0; n < MaxBody && time.Now().Before(end) && c.Closing.Err() == nil; {
-		c.Receive(transport.Stage{Until: time.Now().Add(discardReadTimeout), AtRest: true})
+		c.SetReadBounds(transport.ReadBounds{Until: time.Now().Add(discardReadTimeout), NoRequest: true})
 		m, err := c.r.Discard(maxHeadBytes)
 		if n += m; err != nil {
 			return
@@ -59,9 +59,9 @@
 	}
 	if suppressed, ok := c.rejectionLog.allow(time.Now()); ok {
 		c.Log.Warn("call_rejected", "status", f.status, "reason", f.text, "stage", c.readStage, "id", string(c.head.get(headerTrace)),
-			"since_last_byte", time.Since(c.LastByte()).Round(time.Millisecond), "age", time.Since(c.Begun()).Round(time.Millisecond), "more", suppressed)
+			"since_last_byte", time.Since(c.LastByte()).Round(time.Millisecond), "age", time.Since(c.ConnectedAt()).Round(time.Millisecond), "more", suppressed)
 	}
-	c.closing = c.closing || c.Tight()
+	c.closing = c.closing || c.NearLimit()
 	c.writeResponse(f.status, nil, "", []byte(f.text+"\n"))
 }
 
@@ -79,14 +79,14 @@
 	if c.Closing.Err() != nil { // the process exits: a client that sends on a half-closed connection has nobody left to retry with
 		return
 	}
-	if c.broken || !c.Enter(transport.Lingering) || c.CloseWrite() != nil {
+	if c.broken || !c.Enter(transport.PhaseLingering) || c.CloseWrite() != nil {
 		return
 	}
 	wait := lingerTimeout
-	if c.Pressed() {
+	if c.DescriptorNeeded() {
 		wait = shortLingerTimeout
 	}
-	c.Receive(transport.Stage{Until: time.Now().Add(wait), AtRest: true})
+	c.SetReadBounds(transport.ReadBounds{Until: time.Now().Add(wait), NoRequest: true})
 	piece := make([]byte, discardBufferSize)
 	for n := 0; n < maxLingerBytes; {
 		m, err := c.Client.Read(piece)
@@ -109,7 +109,7 @@
 
 // answer writes the final response of a call.
 func (c *client) answer(a Answer) {
-	if c.isDraining() || c.Tight() {
+	if c.isDraining() || c.NearLimit() {
 		c.closing = true
 	}
 	if c.writeAnswer(&a) && a.Written != nil {
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -40,7 +40,7 @@
 	Encode(worker string, remaining time.Duration) [][]byte
 	// Rest returns a function that writes the rest of the message, or nil if Encode returns all of it. It may be
 	// called once for each attempt; the function it returns works for only one of them.
-	Rest() func(transport.Write) error
+	Rest() func(transport.WriteFunc) error
 }
 
 // Verdict is the outcome of a call.
--- a/internal/protocol/disconnect_test.go
+++ b/internal/protocol/disconnect_test.go
@@ -50,15 +50,15 @@
 				if _, err := io.WriteString(peer, strings.Repeat("x", sentAhead)); err != nil {
 					t.Fatal(err)
 				}
-				for c.Pending() != transport.Bytes && sentAhead > 0 {
+				for c.Pending() != transport.PendingBytes && sentAhead > 0 {
 				}
 				if sentAhead <= maxHeadBytes && !watcher.isConnected() {
 					t.Fatal("reported as disconnected while connected")
 				}
 				end(peer.(*net.TCPConn))
-				for c.Pending() == transport.Nothing { // loopback delivers it at once
+				for c.Pending() == transport.PendingNone { // loopback delivers it at once
 				}
-				for c.Pending() == transport.Bytes && watcher.isConnected() { // as the watching goroutine would
+				for c.Pending() == transport.PendingBytes && watcher.isConnected() { // as the watching goroutine would
 				}
 				if watcher.isConnected() {
 					t.Error("still reported as connected")
--- a/internal/protocol/presence.go
+++ b/internal/protocol/presence.go
@@ -110,9 +110,9 @@
 			return false
 		}
 		switch w.client.Pending() {
-		case transport.End:
+		case transport.PendingEnd:
 			w.markDisconnected()
-		case transport.Bytes:
+		case transport.PendingBytes:
 			if !w.mayReadAhead { // the bytes belong to the request's own message, and its reader sees what follows them
 				return true
 			}
@@ -179,7 +179,7 @@
 	w.answered = true
 	w.mu.Unlock()
 	close(w.done)
-	w.client.Wake()
+	w.client.InterruptRead()
 	<-w.stopped
 }
 
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -99,7 +99,7 @@
 	c := &client{Server: s, Client: conn, source: clientSource{conn: conn}}
 	c.smallReader = bufio.NewReaderSize(&c.source, maxHeadBytes)
 	c.r = c.smallReader
-	stop := context.AfterFunc(s.Closing, conn.EndRest)
+	stop := context.AfterFunc(s.Closing, conn.EndIdleWaits)
 	defer stop()
 	c.serveCalls()
 	c.closeGracefully()
@@ -113,7 +113,7 @@
 			return
 		}
 		call, err := c.readCall()
-		if !c.Enter(transport.Busy) {
+		if !c.Enter(transport.PhaseBusy) {
 			return
 		}
 		switch {
@@ -122,7 +122,7 @@
 			c.reject(err)
 		case call == nil:
 			c.answerHealthCheck()
-		case c.Crowded:
+		case c.OverLimit:
 			c.closing = true
 			c.refuse(call)
 		case server.overload.refusing.Load() && !c.newDisconnectWatcher().isConnected(): // the client no longer waits for the answer
@@ -146,20 +146,20 @@
 func (c *client) awaitCall() bool {
 	c.shrinkBuffer()
 	now := time.Now()
-	phase, until, limit := transport.Resting, now.Add(idleTimeout), headTimeout
+	phase, until, limit := transport.PhaseIdle, now.Add(idleTimeout), headTimeout
 	if !c.hadCall { // a client that connects and sends nothing, or an incomplete request, is owed an end within 3 s in total
-		phase, until = transport.Silent, transport.Latest(c.Begun().Add(firstByteTimeout), now.Add(minFirstByteTimeout))
-		limit = max(headTimeout-now.Sub(c.Begun()), minHeadTimeout)
+		phase, until = transport.PhaseNew, transport.Latest(c.ConnectedAt().Add(firstByteTimeout), now.Add(minFirstByteTimeout))
+		limit = max(headTimeout-now.Sub(c.ConnectedAt()), minHeadTimeout)
 		c.hadCall = true
 	}
-	c.Receive(transport.Stage{Until: until, AtRest: true})
+	c.SetReadBounds(transport.ReadBounds{Until: until, NoRequest: true})
 	if c.Closing.Err() != nil { // a request that has arrived is still answered
-		c.EndRest()
+		c.EndIdleWaits()
 	}
 	if !c.Enter(phase) {
 		return false
 	}
-	if _, err := c.r.Peek(1); err != nil || !c.Enter(transport.Reading) {
+	if _, err := c.r.Peek(1); err != nil || !c.Enter(transport.PhaseReading) {
 		return false
 	}
 	c.started = time.Now()
@@ -170,7 +170,7 @@
 // limitRead sets the time limits for part of a request: its bytes may take up to limit in total, and pause for no longer
 // than stallTimeout.
 func (c *client) limitRead(limit time.Duration) {
-	c.Receive(transport.Stage{Stall: stallTimeout, Until: time.Now().Add(limit)})
+	c.SetReadBounds(transport.ReadBounds{StallTimeout: stallTimeout, Until: time.Now().Add(limit)})
 }
 
 // readCall reads one complete call. It returns nil for a health check.
@@ -323,7 +323,7 @@
 		c.closing = true
 	}
 	c.answer(Answer{Verdict: Refused, Wait: c.Advice})
-	if c.upload != nil && c.Enter(transport.Lingering) {
+	if c.upload != nil && c.Enter(transport.PhaseLingering) {
 		c.discardRequest()
 	}
 }
@@ -335,7 +335,7 @@
 	watcher := c.newDisconnectWatcher()
 	call.ClientLeft, call.Present = watcher.disconnected, watcher.isConnected
 	if c.upload == nil {
-		c.Hold()
+		c.ClearReadBounds()
 	}
 	go watcher.watch()
 	answer := c.Handler.Serve(call)
@@ -369,7 +369,7 @@
 	watcher.end()
 	c.broken = c.broken || watcher.hasDisconnected() && !rejected
 	c.closing = c.closing || c.broken
-	if err != nil && !rejected && c.Enter(transport.Lingering) {
+	if err != nil && !rejected && c.Enter(transport.PhaseLingering) {
 		c.discardRequest()
 	}
 }
--- a/internal/protocol/upload.go
+++ b/internal/protocol/upload.go
@@ -71,11 +71,11 @@
 }
 
 // stream forwards the message piece by piece as the client sends it.
-func (u *upload) stream(write transport.Write) error {
+func (u *upload) stream(write transport.WriteFunc) error {
 	u.mu.Lock()
 	if u.started || u.stopped {
 		u.mu.Unlock()
-		return fmt.Errorf("%w: the body has already been read", transport.ErrSource)
+		return fmt.Errorf("%w: the body has already been read", transport.ErrIncompleteMessage)
 	}
 	u.started = true
 	u.mu.Unlock()
@@ -90,7 +90,7 @@
 		if err != nil {
 			u.err = err
 			close(u.failed)
-			return fmt.Errorf("%w: %w", transport.ErrSource, err)
+			return fmt.Errorf("%w: %w", transport.ErrIncompleteMessage, err)
 		}
 		if n == 0 {
 			continue
@@ -120,7 +120,7 @@
 	if u.body.r.Buffered() == 0 && u.conn.Quiet() {
 		u.incompleteAt = begun
 	}
-	u.conn.Receive(transport.Stage{Stall: stallTimeout, Until: begun.Add(bodyTimeout(u.received+int64(len(buf))) - u.waited), Taken: true})
+	u.conn.SetReadBounds(transport.ReadBounds{StallTimeout: stallTimeout, Until: begun.Add(bodyTimeout(u.received+int64(len(buf))) - u.waited), RequestAccepted: true})
 	u.mu.Unlock()
 	n, err := u.body.Read(buf)
 	u.received += int64(n)
@@ -145,7 +145,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.stopped {
-		u.conn.Hold()
+		u.conn.ClearReadBounds()
 	}
 	return !u.stopped, nil
 }
@@ -171,7 +171,7 @@
 	u.mu.Lock()
 	u.stopped = true
 	started := u.started
-	u.conn.Wake()
+	u.conn.InterruptRead()
 	u.mu.Unlock()
 	if started {
 		<-u.readerDone
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -47,7 +47,7 @@
 }
 
 // Rest streams what follows the window.
-func (q *request) Rest() func(transport.Write) error {
+func (q *request) Rest() func(transport.WriteFunc) error {
 	if q.upload == nil {
 		return nil
 	}
@@ -61,7 +61,7 @@
 func Probe() Message { return probe{} }
 
 // Rest returns nil, since a probe has no body.
-func (probe) Rest() func(transport.Write) error { return nil }
+func (probe) Rest() func(transport.WriteFunc) error { return nil }
 
 func (probe) Encode(worker string, _ time.Duration) [][]byte {
 	return [][]byte{[]byte("GET /_load HTTP/1.1\r\nHost: " + worker + "\r\n\r\n")}
@@ -98,18 +98,18 @@
 	}
 	return Delegation{Reply: reply, Attempt: w.Pool.Start(peer, transport.Exchange{
 		Written: written, Tag: target.Tag, Done: target.To,
-		Message: func() net.Buffers { return m.Encode(peer.Addr, time.Until(end)) },
-		Rest:    m.Rest(),
-		Long:    q != nil && len(q.body)+len(q.head.raw) > transport.WholeWrite,
-		Guard:   guard,
-		Read:    func(r *bufio.Reader) (bool, error) { return readReply(r, w.Columns, reply) },
-		More:    func() bool { return !reply.rest.done },
+		Message:  func() net.Buffers { return m.Encode(peer.Addr, time.Until(end)) },
+		Rest:     m.Rest(),
+		MayBlock: q != nil && len(q.body)+len(q.head.raw) > transport.MaxSingleWrite,
+		Guard:    guard,
+		Read:     func(r *bufio.Reader) (bool, error) { return readReply(r, w.Columns, reply) },
+		More:     func() bool { return !reply.rest.done },
 	})}
 }
 
 // Revoked returns an attempt that ended before it began, with the given error as its result.
 func Revoked(err error, target Return) Delegation {
-	return Delegation{Reply: &Reply{}, Attempt: transport.Refused(transport.Exchange{Tag: target.Tag, Done: target.To}, err)}
+	return Delegation{Reply: &Reply{}, Attempt: transport.FailedAttempt(transport.Exchange{Tag: target.Tag, Done: target.To}, err)}
 }
 
 // CloseIdle closes the idle connections to a worker.
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -152,7 +152,7 @@
 			if clientLeft != nil && active.clientLeft.Load() { // noticed right before the first byte of an attempt
 				handleClientLeft()
 			}
-			a.newConnection, a.complete = result.Sent && !result.Kept, result.Err == nil
+			a.newConnection, a.complete = result.Sent && !result.Reused, result.Err == nil
 			status := a.status(result, clientLeft == nil)
 			if mayHaveRun(status) {
 				active.mayHaveRun = true
@@ -342,14 +342,14 @@
 		return decide.TimedOut
 	case errors.Is(result.Err, transport.ErrAborted) && result.Sent:
 		return decide.Cancelled
-	case result.Sent && (protocol.IsMalformed(result.Err) || errors.Is(result.Err, transport.ErrEarly)):
+	case result.Sent && (protocol.IsMalformed(result.Err) || errors.Is(result.Err, transport.ErrEarlyResponse)):
 		return decide.Unreadable // the worker did answer, but not validly
 	case !result.Sent && errors.Is(result.Err, transport.ErrLocal):
 		return decide.NotRun // not executed, and says nothing about the worker
-	case errors.Is(result.Err, transport.ErrAborted), errors.Is(result.Err, transport.ErrCrowded),
-		errors.Is(result.Err, transport.ErrSource), errors.Is(result.Err, transport.ErrRevoked), errors.Is(result.Err, transport.ErrEarly):
+	case errors.Is(result.Err, transport.ErrAborted), errors.Is(result.Err, transport.ErrNoDescriptor),
+		errors.Is(result.Err, transport.ErrIncompleteMessage), errors.Is(result.Err, transport.ErrRevoked), errors.Is(result.Err, transport.ErrEarlyResponse):
 		return decide.NotRun // says nothing about the worker
-	case result.Sent && result.Kept: // the worker may have closed the kept-alive connection meanwhile
+	case result.Sent && result.Reused: // the worker may have closed the kept-alive connection meanwhile
 		return decide.StaleConnection
 	case result.Sent:
 		return decide.Reset
--- a/internal/routing/concurrent_attempts_test.go
+++ b/internal/routing/concurrent_attempts_test.go
@@ -43,7 +43,7 @@
 type plainMessage struct{}
 
 // Rest returns nil: the message has no body.
-func (plainMessage) Rest() func(transport.Write) error { return nil }
+func (plainMessage) Rest() func(transport.WriteFunc) error { return nil }
 
 // Encode returns the head of a GET request.
 func (plainMessage) Encode(worker string, _ time.Duration) [][]byte {
--- a/internal/routing/guard.go
+++ b/internal/routing/guard.go
@@ -66,8 +66,8 @@
 	return (streaming || time.Now().Before(a.initialDeadline)) && a.router.mayStart(a.command) && a.activeCall.clientPresent()
 }
 
-// Began checks the rules again for an attempt whose first byte was sent this long after Ready, and counts violations.
-func (a *attempt) Began(delay time.Duration) {
+// StartedLate checks the rules again for an attempt whose first byte was sent this long after Ready, and counts violations.
+func (a *attempt) StartedLate(delay time.Duration) {
 	r, active := a.router, a.activeCall
 	attributes := []any{"attempt", a.number, "after", delay}
 	if !active.clientPresent() {
@@ -96,7 +96,7 @@
 // Ready reports whether the worker is listed up with the same address and start time.
 func (g probeGuard) Ready() bool { return g.router.isCurrent(g.worker) }
 
-// Began does nothing: a probe has no client, and a late one does no harm.
-func (probeGuard) Began(time.Duration) {}
+// StartedLate does nothing: a probe has no client, and a late one does no harm.
+func (probeGuard) StartedLate(time.Duration) {}
 
 var _ transport.Guard = (*attempt)(nil)
--- a/internal/routing/guard_test.go
+++ b/internal/routing/guard_test.go
@@ -118,7 +118,7 @@
 				t.Fatal("not ready before the change")
 			}
 			test.change(s, active, a)
-			a.Began(test.after)
+			a.StartedLate(test.after)
 			for _, rule := range test.want {
 				if s.Invariants.Count(rule) != 1 {
 					t.Errorf("%v was counted %d times, want 1", rule, s.Invariants.Count(rule))
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -253,10 +253,10 @@
 		startedMs: instance.StartedMs,
 		listed:    listed}
 	if previous := r.workers[id]; previous != nil && previous.peer.Addr == instance.Addr && previous.startedMs == instance.StartedMs {
-		w.peer.Life = previous.peer.Life
+		w.peer.Incarnation = previous.peer.Incarnation
 	} else {
 		r.lastLife++
-		w.peer.Life = r.lastLife
+		w.peer.Incarnation = r.lastLife
 	}
 	effective := listed
 	effective.State = state
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -47,7 +47,7 @@
 	}
 	message = a.exchange.Message()
 	a.state, a.conn = writing, c
-	a.lastByteHeld = a.exchange.Rest != nil || size(message) > WholeWrite
+	a.lastByteHeld = a.exchange.Rest != nil || size(message) > MaxSingleWrite
 	return message, true
 }
 
@@ -62,7 +62,7 @@
 func (a *Attempt) completeLocked(isSent bool, err error) {
 	if a.state != completed {
 		a.state = completed
-		a.Done <- Result{Tag: a.exchange.Tag, Sent: isSent, Kept: a.reused, Err: err}
+		a.Done <- Result{Tag: a.exchange.Tag, Sent: isSent, Reused: a.reused, Err: err}
 	}
 }
 
@@ -92,9 +92,9 @@
 	a.completeLocked(a.maybeSent(), ErrAborted)
 }
 
-// WholeWrite is the size in bytes up to which a message is written in one piece. For a longer message the last byte is
+// MaxSingleWrite is the size in bytes up to which a message is written in one piece. For a longer message the last byte is
 // held back until it is certain that no response has started.
-const WholeWrite = 8 << 10
+const MaxSingleWrite = 8 << 10
 
 // write sends the message. It is called once, by the goroutine that obtained the connection for the attempt.
 func (a *Attempt) write(c *conn) {
@@ -113,7 +113,7 @@
 	case a.exchange.Rest != nil:
 		a.reportLateStart(start)
 		ok = a.stream(c, message)
-	case size(message) > WholeWrite:
+	case size(message) > MaxSingleWrite:
 		a.reportLateStart(start)
 		first, last := splitLastByte(message)
 		ok = a.send(c, first, false) && a.send(c, net.Buffers{last}, true)
@@ -137,8 +137,8 @@
 // reportLateStart notifies the guard if the first byte is written late. For a message whose write may block on the worker
 // it is called right before the write, for a short one right after it.
 func (a *Attempt) reportLateStart(start time.Time) {
-	if delay := time.Since(start); delay >= LateStart && a.exchange.Guard != nil {
-		a.exchange.Guard.Began(delay)
+	if delay := time.Since(start); delay >= LateStartThreshold && a.exchange.Guard != nil {
+		a.exchange.Guard.StartedLate(delay)
 	}
 }
 
@@ -171,7 +171,7 @@
 		return nil
 	})
 	if err != nil || !finished {
-		a.fail(c, false, cmp.Or(err, ErrSource)) // no effect if the write of a piece has failed
+		a.fail(c, false, cmp.Or(err, ErrIncompleteMessage)) // no effect if the write of a piece has failed
 		return false
 	}
 	return true
@@ -181,7 +181,7 @@
 // has not been sent completely.
 func (a *Attempt) send(c *conn, piece net.Buffers, isLast bool) bool {
 	if !c.Quiet() {
-		a.fail(c, false, ErrEarly)
+		a.fail(c, false, ErrEarlyResponse)
 		return false
 	}
 	if isLast {
@@ -218,8 +218,8 @@
 	return first, last
 }
 
-// Refused returns an Attempt at exchange that failed with err before anything was sent.
-func Refused(exchange Exchange, err error) *Attempt {
+// FailedAttempt returns an Attempt at exchange that failed with err before anything was sent.
+func FailedAttempt(exchange Exchange, err error) *Attempt {
 	a := &Attempt{Done: exchange.resultChannel(), exchange: exchange}
 	a.complete(false, err)
 	return a
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Client is a client's connection. Its deadlines are set only through Receive, Hold and Send.
+// Client is a client's connection. Its deadlines are set only through SetReadBounds, ClearReadBounds and Send.
 type Client struct {
 	deadlines
-	Crowded bool // over the connection limit: to be asked to retry later, not to be served
+	OverLimit bool // over the connection limit: to be asked to retry later, not to be served
 
 	listener      *Listener
 	socket        Socket      // nil where the connection does not support Socket
 	blockedInRead atomic.Bool // the serving goroutine is blocked in a read, so it holds no unprocessed bytes
 	phase         Phase       // guarded by the listener's mutex, like the fields below
 	phaseSince    time.Time
-	phaseElement  *list.Element // position in the list of its phase, nil while Busy
+	phaseElement  *list.Element // position in the list of its phase, nil while PhaseBusy
 	evicted       bool          // closed to make room for another connection
 	uncounted     bool          // no longer counted as open: it has been or is being evicted
 }
 
-// Begun returns the earliest time at which the client may have connected.
-func (c *Client) Begun() time.Time { return c.connectedAt }
+// ConnectedAt returns the earliest time at which the client may have connected.
+func (c *Client) ConnectedAt() time.Time { return c.connectedAt }
 
 // maxLateReads limits the extra reads for bytes that arrived before a deadline passed.
 const maxLateReads = 3
@@ -84,22 +84,22 @@
 // Pending returns what is unread on the connection, without blocking.
 func (c *Client) Pending() Pending {
 	if c.socket == nil {
-		return Unknown
+		return PendingUnknown
 	}
 	if s, ok := c.socket.(interface{ Pending() Pending }); ok {
 		return s.Pending()
 	}
 	if c.socket.Quiet() {
-		return Nothing
+		return PendingNone
 	}
 	err := c.socket.Await() // does not block, since there is something to read
 	switch {
 	case err == nil:
-		return Bytes
+		return PendingBytes
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Unknown
+		return PendingUnknown
 	}
-	return End
+	return PendingEnd
 }
 
 // Await blocks until there is something to read, without reading it. It returns an error if the connection has ended, its
@@ -118,7 +118,7 @@
 
 // inactiveSince returns when the connection last made progress. The caller holds the listener's mutex.
 func (c *Client) inactiveSince() time.Time {
-	if c.phase == Reading {
+	if c.phase == PhaseReading {
 		return Latest(c.phaseSince, c.LastByte())
 	}
 	return c.phaseSince
@@ -134,25 +134,25 @@
 	}
 	l.leavePhase(c)
 	c.phase, c.phaseSince = phase, time.Now()
-	if phase != Busy {
+	if phase != PhaseBusy {
 		c.phaseElement = l.byPhase[phase].PushBack(c)
 	}
 	return true
 }
 
-// Tight reports whether so many connections are busy, reading or idle that this one should not be kept alive after its
-// response. Silent and lingering connections do not count: they are closed soon in any case.
-func (c *Client) Tight() bool {
+// NearLimit reports whether so many connections are busy, reading or idle that this one should not be kept alive after its
+// response. New and lingering connections do not count: they are closed soon in any case.
+func (c *Client) NearLimit() bool {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(l.openCount-l.byPhase[Silent].Len()-l.byPhase[Lingering].Len()) > nearLimitShare*float64(l.limit)
+	return float64(l.openCount-l.byPhase[PhaseNew].Len()-l.byPhase[PhaseLingering].Len()) > nearLimitShare*float64(l.limit)
 }
 
-// Pressed reports whether the connection's descriptor is needed for another connection.
-func (c *Client) Pressed() bool {
+// DescriptorNeeded reports whether the connection's descriptor is needed for another connection.
+func (c *Client) DescriptorNeeded() bool {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return c.Crowded || c.uncounted
+	return c.OverLimit || c.uncounted
 }
--- a/internal/transport/deadline.go
+++ b/internal/transport/deadline.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Stage limits the reads of one stage of a client's connection. Both limits apply at once: Stall detects a client that has
+// ReadBounds limits the reads of one stage of a client's connection. Both limits apply at once: StallTimeout detects a client that has
 // stopped sending, Until one that sends too slowly.
-type Stage struct {
-	Stall  time.Duration // the longest time since the client's last byte; 0 for no limit
-	Until  time.Time     // the end of the stage, whatever arrives; the zero time for no limit
-	AtRest bool          // no byte of a request has arrived, so no response is due if the wait is interrupted
-	Taken  bool          // the request has been handed over, so only its own deadline ends it
+type ReadBounds struct {
+	StallTimeout    time.Duration // the longest time since the client's last byte; 0 for no limit
+	Until           time.Time     // the end of the stage, whatever arrives; the zero time for no limit
+	NoRequest       bool          // no byte of a request has arrived, so no response is due if the wait is interrupted
+	RequestAccepted bool          // the request has been handed over, so only its own deadline ends it
 }
 
 // deadlines is the only owner of the deadlines of a client's connection. Readers and writers state the limits that they
@@ -26,7 +26,7 @@
 
 	mu            sync.Mutex
 	lastRead      time.Time // when bytes last arrived, the zero time before the first
-	bounds        Stage
+	bounds        ReadBounds
 	suspended     bool      // no bytes are expected from the client while its request is open
 	interrupted   bool      // reads fail until the next stage
 	idleEnded     bool      // no further waits for a next request
@@ -38,35 +38,35 @@
 // expiredDeadline is a deadline in the past.
 var expiredDeadline = time.Unix(1, 0)
 
-// Receive starts a stage: the reads that follow are subject to its limits.
-func (d *deadlines) Receive(bounds Stage) {
+// SetReadBounds starts a stage: the reads that follow are subject to its limits.
+func (d *deadlines) SetReadBounds(bounds ReadBounds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.bounds, d.suspended, d.interrupted = bounds, false, false
 }
 
-// Hold removes the limits of the stage while no bytes are expected from the client.
-func (d *deadlines) Hold() {
+// ClearReadBounds removes the limits of the stage while no bytes are expected from the client.
+func (d *deadlines) ClearReadBounds() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.bounds, d.suspended, d.interrupted = Stage{}, true, false
+	d.bounds, d.suspended, d.interrupted = ReadBounds{}, true, false
 }
 
-// Wake interrupts the current read or wait, if any, and all further ones until the next stage.
-func (d *deadlines) Wake() {
+// InterruptRead interrupts the current read or wait, if any, and all further ones until the next stage.
+func (d *deadlines) InterruptRead() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.interrupted = true
 	d.applyReadDeadline()
 }
 
-// EndRest interrupts the current wait unless a request of the client has been accepted, and all further waits for a next
+// EndIdleWaits interrupts the current wait unless a request of the client has been accepted, and all further waits for a next
 // request. Bytes that have arrived are still read.
-func (d *deadlines) EndRest() {
+func (d *deadlines) EndIdleWaits() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.idleEnded = true
-	if !d.suspended && !d.bounds.Taken {
+	if !d.suspended && !d.bounds.RequestAccepted {
 		d.interrupted = true
 	}
 	d.applyReadDeadline()
@@ -96,12 +96,12 @@
 
 // effectiveReadDeadline returns the earliest limit of the current wait. The caller holds d.mu.
 func (d *deadlines) effectiveReadDeadline() time.Time {
-	if d.interrupted || d.idleEnded && d.bounds.AtRest {
+	if d.interrupted || d.idleEnded && d.bounds.NoRequest {
 		return expiredDeadline
 	}
 	deadline := d.bounds.Until
-	if d.bounds.Stall > 0 {
-		deadline = earlier(deadline, d.lastByteLocked().Add(d.bounds.Stall))
+	if d.bounds.StallTimeout > 0 {
+		deadline = earlier(deadline, d.lastByteLocked().Add(d.bounds.StallTimeout))
 	}
 	return earlier(deadline, d.end)
 }
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -10,11 +10,11 @@
 
 // Errors that say why an exchange did not start or did not finish.
 var (
-	ErrAborted = errors.New("aborted by the caller")
-	ErrRevoked = errors.New("revoked before the first byte was sent")
-	ErrCrowded = errors.New("no file descriptor available for a new connection")
-	ErrEarly   = errors.New("response started before the message was sent")
-	ErrSource  = errors.New("message source ended before the message was complete")
+	ErrAborted           = errors.New("aborted by the caller")
+	ErrRevoked           = errors.New("revoked before the first byte was sent")
+	ErrNoDescriptor      = errors.New("no file descriptor available for a new connection")
+	ErrEarlyResponse     = errors.New("response started before the message was sent")
+	ErrIncompleteMessage = errors.New("message source ended before the message was complete")
 
 	// ErrLocal means that this machine could not open a connection because it lacks ports, buffers, descriptors or a route.
 	// It says nothing about the worker.
@@ -25,30 +25,30 @@
 type Guard interface {
 	// Ready is called when the connection is available, right before the first byte. If it returns false, nothing is sent.
 	Ready() bool
-	// Began is called if the first byte was written at least LateStart after Ready, with that delay. It may be called on any
+	// StartedLate is called if the first byte was written at least LateStartThreshold after Ready, with that delay. It may be called on any
 	// goroutine.
-	Began(after time.Duration)
+	StartedLate(after time.Duration)
 }
 
-// LateStart is the delay between Ready and the first byte from which the Guard is notified. It equals the time for which a
+// LateStartThreshold is the delay between Ready and the first byte from which the Guard is notified. It equals the time for which a
 // client's disconnect may go unnoticed.
-const LateStart = 100 * time.Millisecond
+const LateStartThreshold = 100 * time.Millisecond
 
 // Exchange is one message to a worker and the reading of its response. It is protocol-neutral.
 type Exchange struct {
-	Message func() net.Buffers                            // builds the message; called at most once, right before the first byte
-	Rest    func(write Write) error                       // writes what follows Message; nil if Message is complete
-	Long    bool                                          // Message may be longer than WholeWrite: its write may block on the worker
-	Guard   Guard                                         // consulted when the connection is available; nil for none
-	Read    func(r *bufio.Reader) (reuse bool, err error) // reads one response, complete or up to the part announced by More
-	More    func() bool                                   // reports, after Read, whether the response continues; nil for never
-	Written *atomic.Int64                                 // incremented when the message has been written; nil for none
-	Tag     int                                           // chosen by the caller and copied to the Result
-	Done    chan Result                                   // receives the Result, needs room for it; nil: the attempt makes one
+	Message  func() net.Buffers                            // builds the message; called at most once, right before the first byte
+	Rest     func(write WriteFunc) error                   // writes what follows Message; nil if Message is complete
+	MayBlock bool                                          // Message may be longer than MaxSingleWrite: its write may block on the worker
+	Guard    Guard                                         // consulted when the connection is available; nil for none
+	Read     func(r *bufio.Reader) (reuse bool, err error) // reads one response, complete or up to the part announced by More
+	More     func() bool                                   // reports, after Read, whether the response continues; nil for never
+	Written  *atomic.Int64                                 // incremented when the message has been written; nil for none
+	Tag      int                                           // chosen by the caller and copied to the Result
+	Done     chan Result                                   // receives the Result, needs room for it; nil: the attempt makes one
 }
 
-// Write sends a piece of a message; last marks the final piece. It returns an error once the exchange has ended.
-type Write func(piece net.Buffers, last bool) error
+// WriteFunc sends a piece of a message; last marks the final piece. It returns an error once the exchange has ended.
+type WriteFunc func(piece net.Buffers, last bool) error
 
 // resultChannel returns the channel for the exchange's result.
 func (x *Exchange) resultChannel() chan Result {
@@ -61,11 +61,11 @@
 // Result describes how an exchange ended. Sent is false only if the message's last byte was certainly not sent, so that the
 // worker cannot have started on it.
 type Result struct {
-	Tag  int // copied from the Exchange
-	Sent bool
-	Kept bool // sent on a connection that served an earlier exchange
-	Err  error
-	Rest *Rest // the unread rest of the response, nil if there is none; the receiver of the Result must close it
+	Tag    int // copied from the Exchange
+	Sent   bool
+	Reused bool // sent on a connection that served an earlier exchange
+	Err    error
+	Rest   *Rest // the unread rest of the response, nil if there is none; the receiver of the Result must close it
 }
 
 // Rest is the unread part of a response and the connection that delivers it. It must not be used by several goroutines at
--- a/internal/transport/inherit_test.go
+++ b/internal/transport/inherit_test.go
@@ -35,7 +35,7 @@
 	if inherited.Addr().String() != original.Addr().String() {
 		t.Fatalf("inherited %s, want %s", inherited.Addr(), original.Addr())
 	}
-	l := Serve(inherited, 4, 1)
+	l := NewListener(inherited, 4, 1)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -41,11 +41,11 @@
 	minShared = 16 // for clients and workers together, however low the process's limit
 )
 
-// Split divides a process's descriptors between clients and workers after setting aside operators of them for the operator
+// SplitDescriptors divides a process's descriptors between clients and workers after setting aside operators of them for the operator
 // address. An open call holds one connection to its client and one to a worker, so both sides get about the same; the
 // clients' share is slightly larger because of connections without a call. A tenth of it is spare: for connections that are
 // only asked to retry later.
-func Split(sockets, operators int) (clients, spare, workers int) {
+func SplitDescriptors(sockets, operators int) (clients, spare, workers int) {
 	n := max(sockets-reserved-operators, minShared)
 	clients = n * 11 / 20
 	spare = max(clients/10, 1)
@@ -59,24 +59,24 @@
 	nearLimitShare = 0.75
 )
 
-// Phase is the state of a client's connection. In all phases but Busy there is no accepted request without a response, and
+// Phase is the state of a client's connection. In all phases but PhaseBusy there is no accepted request without a response, and
 // the connection may be closed to make room for another.
 type Phase uint8
 
 // The phases of a connection.
 const (
-	Silent    Phase = iota // no byte has arrived yet
-	Reading                // part of a call has arrived
-	Resting                // idle between two calls
-	Lingering              // rejected, waiting for the client to close
-	Busy                   // a call is in progress
+	PhaseNew       Phase = iota // no byte has arrived yet
+	PhaseReading                // part of a call has arrived
+	PhaseIdle                   // idle between two calls
+	PhaseLingering              // rejected, waiting for the client to close
+	PhaseBusy                   // a call is in progress
 )
 
 // gracePeriods is how long a connection in each phase is protected from eviction. A client usually sends as soon as it is
 // connected, and the rest of its call follows quickly. An idle client may be about to send its next call, but a new
 // client's call is already waiting.
-var gracePeriods = [Busy]time.Duration{Silent: 100 * time.Millisecond, Reading: 500 * time.Millisecond,
-	Resting: 250 * time.Millisecond, Lingering: 0}
+var gracePeriods = [PhaseBusy]time.Duration{PhaseNew: 100 * time.Millisecond, PhaseReading: 500 * time.Millisecond,
+	PhaseIdle: 250 * time.Millisecond, PhaseLingering: 0}
 
 const (
 	// maxAdmitWait is the longest time that a new client waits for a place below the limit before it is served as crowded.
@@ -103,7 +103,7 @@
 type Listener struct {
 	ln           net.Listener
 	limit        int
-	gracePeriods [Busy]time.Duration
+	gracePeriods [PhaseBusy]time.Duration
 	slots        chan struct{} // one for each connection, including the spare ones
 	roomFreed    chan struct{} // wakes one of the clients that wait for a place below the limit
 	serving      sync.WaitGroup
@@ -111,7 +111,7 @@
 	mu           sync.Mutex
 	openCount    int
 	clients      map[*Client]struct{} // all connected clients
-	byPhase      [Busy]list.List      // of *Client, the longest in its phase first
+	byPhase      [PhaseBusy]list.List // of *Client, the longest in its phase first
 	end          time.Time            // of all connections; zero while unknown
 	stopDeadline time.Time            // set by Stop; zero until then
 }
@@ -122,11 +122,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return Serve(ln, limit, spare), nil
+	return NewListener(ln, limit, spare), nil
 }
 
-// Serve is Listen for a socket that is listening already, such as one inherited from the platform.
-func Serve(ln net.Listener, limit, spare int) *Listener {
+// NewListener is Listen for a socket that is listening already, such as one inherited from the platform.
+func NewListener(ln net.Listener, limit, spare int) *Listener {
 	return &Listener{ln: ln, limit: limit, gracePeriods: gracePeriods, slots: make(chan struct{}, limit+spare),
 		roomFreed: make(chan struct{}, 1), clients: map[*Client]struct{}{}}
 }
@@ -223,7 +223,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.clients {
-		if c.phase == Busy {
+		if c.phase == PhaseBusy {
 			c.Reset()
 			n++
 		}
@@ -243,7 +243,7 @@
 		}
 		if wait <= 0 {
 			l.openCount++
-			c.Crowded = l.openCount > l.limit
+			c.OverLimit = l.openCount > l.limit
 			hasRoom := l.openCount < l.limit
 			l.mu.Unlock()
 			if hasRoom {
@@ -299,8 +299,8 @@
 		c.uncounted = true
 		l.openCount--
 	}
-	if c.phase == Reading {
-		c.Wake()
+	if c.phase == PhaseReading {
+		c.InterruptRead()
 		return
 	}
 	c.evicted = true
@@ -329,15 +329,15 @@
 	}
 }
 
-// CloseResting interrupts the wait of all connections that are idle between two calls and returns their number. It is used
+// CloseIdle interrupts the wait of all connections that are idle between two calls and returns their number. It is used
 // when the sidecar is drained, to move clients elsewhere. The serving goroutines close the connections in an orderly way; a
 // client whose next call has already arrived gets its response first.
-func (l *Listener) CloseResting() int {
+func (l *Listener) CloseIdle() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	idle := &l.byPhase[Resting]
+	idle := &l.byPhase[PhaseIdle]
 	for e := idle.Front(); e != nil; e = e.Next() {
-		e.Value.(*Client).EndRest()
+		e.Value.(*Client).EndIdleWaits()
 	}
 	return idle.Len()
 }
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -17,7 +17,7 @@
 func TestDescriptorSplit(t *testing.T) {
 	for _, sockets := range []int{128, 512, 1024, 4096} {
 		for _, operators := range []int{0, 34} {
-			clients, spare, workers := Split(sockets, operators)
+			clients, spare, workers := SplitDescriptors(sockets, operators)
 			if free := sockets - clients - spare - workers; free != reserved+operators {
 				t.Errorf("of %d descriptors %d are reserved, including %d for operators", sockets, free, operators)
 			}
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	if clients, spare, workers := Split(0, 34); clients+spare+workers != minShared {
+	if clients, spare, workers := SplitDescriptors(0, 34); clients+spare+workers != minShared {
 		t.Errorf("of no descriptors: %d for clients, %d spare, %d for workers", clients, spare, workers)
 	}
 }
@@ -38,15 +38,15 @@
 		want   []bool  // whether the first is evicted, whether the second is crowded
 		unread bool    // bytes from the first have arrived that its goroutine has not read
 	}{
-		"silent":                         {[]Phase{Silent}, []bool{true, false}, false},
-		"partial call":                   {[]Phase{Silent, Reading}, []bool{true, false}, false},
-		"idle after a call":              {[]Phase{Silent, Reading, Busy, Resting}, []bool{true, false}, false},
-		"rejected":                       {[]Phase{Silent, Reading, Lingering}, []bool{true, false}, false},
-		"with a call":                    {[]Phase{Silent, Reading, Busy}, []bool{false, true}, false},
-		"with a second call":             {[]Phase{Silent, Reading, Busy, Resting, Reading, Busy}, []bool{false, true}, false},
-		"silent with unread bytes":       {[]Phase{Silent}, []bool{false, true}, true},
-		"partial call with unread bytes": {[]Phase{Silent, Reading}, []bool{false, true}, true},
-		"idle with unread bytes":         {[]Phase{Silent, Reading, Busy, Resting}, []bool{false, true}, true},
+		"silent":                         {[]Phase{PhaseNew}, []bool{true, false}, false},
+		"partial call":                   {[]Phase{PhaseNew, PhaseReading}, []bool{true, false}, false},
+		"idle after a call":              {[]Phase{PhaseNew, PhaseReading, PhaseBusy, PhaseIdle}, []bool{true, false}, false},
+		"rejected":                       {[]Phase{PhaseNew, PhaseReading, PhaseLingering}, []bool{true, false}, false},
+		"with a call":                    {[]Phase{PhaseNew, PhaseReading, PhaseBusy}, []bool{false, true}, false},
+		"with a second call":             {[]Phase{PhaseNew, PhaseReading, PhaseBusy, PhaseIdle, PhaseReading, PhaseBusy}, []bool{false, true}, false},
+		"silent with unread bytes":       {[]Phase{PhaseNew}, []bool{false, true}, true},
+		"partial call with unread bytes": {[]Phase{PhaseNew, PhaseReading}, []bool{false, true}, true},
+		"idle with unread bytes":         {[]Phase{PhaseNew, PhaseReading, PhaseBusy, PhaseIdle}, []bool{false, true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := Listen(System{}, "127.0.0.1:0", 1, 1)
@@ -58,7 +58,7 @@
 			for i := range l.gracePeriods {
 				l.gracePeriods[i] = time.Hour
 			}
-			if last != Busy {
+			if last != PhaseBusy {
 				l.gracePeriods[last] = 0
 			}
 			served := make(chan *Client)
@@ -89,7 +89,7 @@
 				one.Close() // otherwise the eviction closes it
 			}
 			io.Copy(io.Discard, first)
-			if diff := cmp.Diff(test.want, []bool{one.uncounted, two.Crowded}); diff != "" {
+			if diff := cmp.Diff(test.want, []bool{one.uncounted, two.OverLimit}); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
 			}
 		})
@@ -113,7 +113,7 @@
 	for c.Quiet() {
 		time.Sleep(time.Millisecond)
 	}
-	c.Receive(Stage{Until: time.Now().Add(-time.Second)})
+	c.SetReadBounds(ReadBounds{Until: time.Now().Add(-time.Second)})
 	b := make([]byte, 8)
 	if n, err := c.Read(b); string(b[:n]) != "call" || err != nil {
 		t.Errorf("read %q, %v", b[:n], err)
@@ -162,12 +162,12 @@
 	}
 	f := &failingListener{TCPListener: ln.(*net.TCPListener), failed: make(chan struct{}, 1)}
 	f.fails.Store(true)
-	l := Serve(f, 2*clients, 1)
+	l := NewListener(f, 2*clients, 1)
 	accepted := make(chan struct{})
 	go func() {
 		defer close(accepted)
 		l.Accept(func(c *Client) {
-			c.Receive(Stage{Until: time.Now().Add(timeout)})
+			c.SetReadBounds(ReadBounds{Until: time.Now().Add(timeout)})
 			io.CopyN(c.conn, c, 1)
 		}, nil)
 	}()
@@ -210,7 +210,7 @@
 	}
 	f := &failingListener{TCPListener: ln.(*net.TCPListener), failed: make(chan struct{}, 1)}
 	f.fails.Store(true)
-	l := Serve(f, 1, 1)
+	l := NewListener(f, 1, 1)
 	accepted := make(chan struct{})
 	go func() {
 		defer close(accepted)
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -27,10 +27,10 @@
 
 // The possible values of Pending.
 const (
-	Unknown Pending = iota // the state cannot be determined
-	Nothing
-	Bytes // the end of the connection may follow
-	End   // the client has closed or reset the connection, and no bytes are left
+	PendingUnknown Pending = iota // the state cannot be determined
+	PendingNone
+	PendingBytes // the end of the connection may follow
+	PendingEnd   // the client has closed or reset the connection, and no bytes are left
 )
 
 // Quiet reports whether there is nothing unread on the connection. It returns false where that is unknown.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -16,8 +16,8 @@
 // Peer identifies one incarnation of a worker process at an address. A connection to an earlier process at the same address
 // is not reused for it.
 type Peer struct {
-	Addr string
-	Life uint64
+	Addr        string
+	Incarnation uint64
 }
 
 // conn is a connection to a worker. A dedicated goroutine reads it for its whole lifetime, so that a close by the worker is
@@ -56,7 +56,7 @@
 	a := &Attempt{Done: exchange.resultChannel(), exchange: exchange, writeDone: make(chan struct{})}
 	if c := p.reuse(peer, a); c != nil {
 		c.SetReadDeadline(time.Time{})
-		if exchange.Rest != nil || exchange.Long { // may block on the source or the worker; the caller must not wait for it
+		if exchange.Rest != nil || exchange.MayBlock { // may block on the source or the worker; the caller must not wait for it
 			go a.write(c)
 		} else {
 			a.write(c)
@@ -64,7 +64,7 @@
 		return a
 	}
 	if !p.budget.acquire() && !p.evict() {
-		a.complete(false, ErrCrowded)
+		a.complete(false, ErrNoDescriptor)
 		return a
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), p.connectTimeout)
@@ -189,7 +189,7 @@
 		return false
 	}
 	a.state = completed
-	a.Done <- Result{Tag: a.exchange.Tag, Sent: true, Kept: a.reused, Rest: rest}
+	a.Done <- Result{Tag: a.exchange.Tag, Sent: true, Reused: a.reused, Rest: rest}
 	a.mu.Unlock()
 	return <-rest.reusable && p.makeIdle(c)
 }
--- a/internal/transport/pool_race_test.go
+++ b/internal/transport/pool_race_test.go
@@ -120,7 +120,7 @@
 // An attempt aborted before the last byte of its message counts as not sent, and the last byte is never written.
 func TestAbortBeforeLastByte(t *testing.T) {
 	peer, conns := startWorker(t)
-	const long = 4 * WholeWrite
+	const long = 4 * MaxSingleWrite
 	var a *Attempt
 	started, abortDone := make(chan struct{}), make(chan struct{})
 	h := &hookNetwork{quiet: onNthCall(2, func() { // the check before the last byte
@@ -161,7 +161,7 @@
 			io.WriteString(c, "ok\nok\n")
 		}, true, nil},
 		"revoked":           {func(x *Exchange) { x.Guard = fixedGuard(false) }, func(net.Conn) {}, false, ErrRevoked},
-		"incomplete source": {func(x *Exchange) { x.Rest = func(Write) error { return nil } }, func(net.Conn) {}, false, ErrSource},
+		"incomplete source": {func(x *Exchange) { x.Rest = func(WriteFunc) error { return nil } }, func(net.Conn) {}, false, ErrIncompleteMessage},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer, conns := startWorker(t)
@@ -189,7 +189,7 @@
 		kept      bool
 	}{
 		"eviction": {1, func(t *testing.T, p *Pool, _, other Peer, _ Socket, _ <-chan struct{}) {
-			expectResult(t, p.Start(other, newExchange(true)), false, ErrCrowded) // there is no idle connection to evict
+			expectResult(t, p.Start(other, newExchange(true)), false, ErrNoDescriptor) // there is no idle connection to evict
 		}, true},
 		"closing of idle connections": {1, func(_ *testing.T, p *Pool, peer, _ Peer, _ Socket, _ <-chan struct{}) {
 			p.CloseIdle(peer)
@@ -221,7 +221,7 @@
 				c = nextConn(t, conns)
 			}
 			reply(c)
-			if r := <-a.Done; r.Err != nil || r.Kept != test.kept {
+			if r := <-a.Done; r.Err != nil || r.Reused != test.kept {
 				t.Errorf("got %+v", r)
 			}
 			p.CloseIdle(peer)
@@ -312,8 +312,8 @@
 	expectResult(t, a, true, nil)
 	network.block.Store(true)
 	x := newExchange(true)
-	x.Long = true
-	x.Message = func() net.Buffers { return net.Buffers{make([]byte, 4*WholeWrite)} }
+	x.MayBlock = true
+	x.Message = func() net.Buffers { return net.Buffers{make([]byte, 4*MaxSingleWrite)} }
 	started := make(chan *Attempt)
 	go func() { started <- p.Start(peer, x) }()
 	select {
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -90,7 +90,7 @@
 	other, others := startWorker(t)
 	p := NewPool(System{}, NewBudget(1), 10*time.Second, time.Minute)
 	a := p.Start(addr, newExchange(true))
-	expectResult(t, p.Start(other, newExchange(true)), false, ErrCrowded)
+	expectResult(t, p.Start(other, newExchange(true)), false, ErrNoDescriptor)
 	c := <-conns
 	reply(c)
 	expectResult(t, a, true, nil)
@@ -149,7 +149,7 @@
 		io.WriteString(c, "ok\n")
 		io.Copy(io.Discard, c)
 	}()
-	expectResult(t, p.Start(addr, x), false, ErrEarly) // the last byte is never sent
+	expectResult(t, p.Start(addr, x), false, ErrEarlyResponse) // the last byte is never sent
 }
 
 // The result of an attempt says whether its connection was reused: the worker may have closed it just before, which must be
@@ -160,13 +160,13 @@
 	a := p.Start(peer, newExchange(true))
 	c := <-conns
 	reply(c)
-	if r := <-a.Done; r.Kept {
+	if r := <-a.Done; r.Reused {
 		t.Error("a new connection is reported as reused")
 	}
 	a = p.Start(peer, newExchange(true))
 	io.ReadFull(c, make([]byte, 2))
 	c.Close()
-	if r := <-a.Done; !r.Kept || !r.Sent || r.Err == nil {
+	if r := <-a.Done; !r.Reused || !r.Sent || r.Err == nil {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -178,7 +178,7 @@
 	a := p.Start(peer, newExchange(true))
 	reply(<-conns)
 	expectResult(t, a, true, nil)
-	peer.Life++
+	peer.Incarnation++
 	a = p.Start(peer, newExchange(true))
 	reply(<-conns)
 	expectResult(t, a, true, nil)
@@ -187,14 +187,14 @@
 // fixedGuard is a guard whose Ready always returns the same.
 type fixedGuard bool
 
-func (a fixedGuard) Ready() bool       { return bool(a) }
-func (fixedGuard) Began(time.Duration) {}
+func (a fixedGuard) Ready() bool             { return bool(a) }
+func (fixedGuard) StartedLate(time.Duration) {}
 
 // lateStartRecorder is a guard that permits every message and records the reported delays.
 type lateStartRecorder chan time.Duration
 
-func (lateStartRecorder) Ready() bool             { return true }
-func (l lateStartRecorder) Began(d time.Duration) { l <- d }
+func (lateStartRecorder) Ready() bool                   { return true }
+func (l lateStartRecorder) StartedLate(d time.Duration) { l <- d }
 
 // A guard is notified of a first byte that is written long after Ready, and of no other.
 func TestGuardIsToldOfLateStart(t *testing.T) {
@@ -202,7 +202,7 @@
 	p := NewPool(System{}, NewBudget(1), time.Minute, time.Minute)
 	recorder := make(lateStartRecorder, 2)
 	var c net.Conn
-	for _, delay := range []time.Duration{0, LateStart} {
+	for _, delay := range []time.Duration{0, LateStartThreshold} {
 		x := newExchange(true)
 		x.Guard = recorder
 		text := x.Message
@@ -217,7 +217,7 @@
 		reply(c)
 		expectResult(t, a, true, nil)
 	}
-	if d := <-recorder; d < LateStart || len(recorder) > 0 {
+	if d := <-recorder; d < LateStartThreshold || len(recorder) > 0 {
 		t.Errorf("recorded a delay of %v, and %d more", d, len(recorder))
 	}
 	p.CloseIdle(peer)
--- a/internal/transport/system.go
+++ b/internal/transport/system.go
@@ -80,13 +80,13 @@
 	err := s.raw.Control(func(fd uintptr) { state = peek(fd) })
 	switch {
 	case err != nil:
-		return End // closed on this side
+		return PendingEnd // closed on this side
 	case state == nil:
-		return Bytes
+		return PendingBytes
 	case errors.Is(state, syscall.EAGAIN):
-		return Nothing
+		return PendingNone
 	}
-	return End
+	return PendingEnd
 }
 
 // AsSocket returns an accepted connection as a Socket, nil if it is neither a Socket nor a TCP connection.
--- a/internal/transport/system_test.go
+++ b/internal/transport/system_test.go
@@ -53,7 +53,7 @@
 	}
 	flaky := &flakyListener{Listener: ln}
 	flaky.remaining.Store(int64(len(transientErrors)))
-	l := Serve(flaky, 1, 1)
+	l := NewListener(flaky, 1, 1)
 	var failures atomic.Int64
 	ended := make(chan struct{})
 	go func() {
