--- a/internal/program/config_toml.go
+++ b/internal/program/config_toml.go
@@ -213,7 +213,7 @@
 			Zone:      worker.Zone,
 			Kind:      worker.Kind,
 			Cell:      worker.Cell,
-			Lifecycle: protocol.Up,
+			Lifecycle: protocol.LifecycleUp,
 			Weight:    worker.Weight,
 		})
 	}
--- a/internal/program/gate_bench_test.go
+++ b/internal/program/gate_bench_test.go
@@ -98,7 +98,7 @@
 		b.Run(map[bool]string{false: "none", true: "rules"}[on], func(b *testing.B) {
 			o := newTestSidecar(b, nil)
 			if on {
-				o.gate, o.origins = gate(b), &protocol.Origins{Caller: "X-Qos"}
+				o.gate, o.origins = gate(b), &protocol.OriginConfig{Caller: "X-Qos"}
 			}
 			call := o.startCalls()
 			b.ReportAllocs()
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -21,7 +21,7 @@
 	s        *Sidecar
 	router   *routing.Router
 	stopping *atomic.Bool // SIGTERM has arrived, so the process is no longer ready
-	stats    *protocol.Figures
+	stats    *protocol.Counters
 
 	orders *orders.Keeper // maintenance orders of the cluster; nil without a cluster
 
@@ -33,8 +33,8 @@
 
 // Stats returns the call counters as JSON.
 func (h *adminHandler) Stats() []byte {
-	var report protocol.Report
-	h.stats.Read(h.s.config.Names.Classes, &report)
+	var report protocol.StatsReport
+	h.stats.FillStats(h.s.config.Names.Classes, &report)
 	report.Inflight = h.router.Open()
 	report.HostsListed, report.HostsDown = h.router.Hosts()
 	report.ListAgeMs = h.router.ListAge().Milliseconds()
--- a/internal/program/rules.go
+++ b/internal/program/rules.go
@@ -84,7 +84,7 @@
 	s.enforcer = enforcement.New(enforcerConfig)
 	s.usage = usage.New(usage.Config{Member: s.member, Process: cluster.Member, Log: s.log})
 	s.versions = enforcement.NewVersions(s.enforcer, s.usage)
-	s.gate, s.origins = s.versions, &protocol.Origins{
+	s.gate, s.origins = s.versions, &protocol.OriginConfig{
 		Caller:   cluster.Caller,
 		Version:  cluster.Version,
 		UnderWay: cluster.UnderWay,
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -62,7 +62,7 @@
 	adminListener net.Listener                   // for operators; nil if not configured
 	member        clusterMember                  // nil without a cluster
 	gate          routing.Gate                   // enforces the cluster's rules; nil without rules
-	origins       *protocol.Origins              // where calls carry the attributes that rules match
+	origins       *protocol.OriginConfig         // where calls carry the attributes that rules match
 	enforcer      *enforcement.Enforcer          // nil without rules, as are the fields below
 	limits        *limits.Limits
 	versions      *enforcement.Versions // handles API versions that end, in front of the enforcer
@@ -168,7 +168,7 @@
 	closeCtx, startClose := context.WithCancel(context.Background())
 	defer startClose()
 	cfg := s.config
-	stats := protocol.NewFigures(len(cfg.Names.Classes))
+	stats := protocol.NewCounters(len(cfg.Names.Classes))
 	maintenanceSet := s.loadMaintenance()
 	invariants := invariant.NewMonitor(s.log)
 	router := routing.New(runCtx, routing.Config{
@@ -179,7 +179,7 @@
 		Registry:   cfg.Registry,
 		Log:        s.log,
 		Trace:      cfg.Trace,
-		Workers:    &protocol.Workers{Pool: s.pool, Columns: cfg.Decide.Columns, Figures: stats},
+		Workers:    &protocol.Workers{Pool: s.pool, Columns: cfg.Decide.Columns, Counters: stats},
 		Out:        maintenanceSet,
 		Gate:       s.gate,
 		Invariants: invariants,
@@ -199,18 +199,18 @@
 		longestDeadline = max(longestDeadline, class.Deadline)
 	}
 	server := &protocol.Server{
-		Handler:    router,
-		Classes:    cfg.Names.Classes,
-		Worth:      classWorths,
-		Longest:    longestDeadline,
-		Advice:     retryAfter,
-		Draining:   drainCtx,
-		Closing:    closeCtx,
-		Held:       &s.drained,
-		Figures:    stats,
-		Origins:    s.origins,
-		Log:        s.log,
-		Invariants: invariants,
+		Handler:         router,
+		Classes:         cfg.Names.Classes,
+		Worth:           classWorths,
+		MaxDeadline:     longestDeadline,
+		Advice:          retryAfter,
+		Draining:        drainCtx,
+		Closing:         closeCtx,
+		OperatorDrained: &s.drained,
+		Counters:        stats,
+		OriginConfig:    s.origins,
+		Log:             s.log,
+		Invariants:      invariants,
 	}
 	acceptDone := make(chan struct{})
 	go func() {
--- a/internal/program/scenario_test.go
+++ b/internal/program/scenario_test.go
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	if s.gate != nil {
-		sidecar.gate, sidecar.origins = gateFunc(s.gate), &protocol.Origins{Caller: "X-Caller", Segment: 1}
+		sidecar.gate, sidecar.origins = gateFunc(s.gate), &protocol.OriginConfig{Caller: "X-Caller", Segment: 1}
 	}
 	st.addr, st.adminAddr = sidecar.Addr().String(), sidecar.AdminAddr().String()
 	go func() { defer close(st.exited); sidecar.Run(st.signals) }()
--- a/internal/protocol/answer.go
+++ b/internal/protocol/answer.go
@@ -105,7 +105,9 @@
 }
 
 // isDraining reports whether clients should go elsewhere: the sidecar is shutting down, or an operator has drained it.
-func (s *Server) isDraining() bool { return s.Draining.Err() != nil || s.Held != nil && s.Held.Load() }
+func (s *Server) isDraining() bool {
+	return s.Draining.Err() != nil || s.OperatorDrained != nil && s.OperatorDrained.Load()
+}
 
 // answer writes the final response of a call.
 func (c *client) answer(a Answer) {
@@ -122,7 +124,7 @@
 	switch a.Verdict {
 	case Served:
 		if a.Reply.Rest != nil {
-			return c.relayReply(a.Reply, a.Header, a.End)
+			return c.relayReply(a.Reply, a.Header, a.Deadline)
 		}
 		return c.writeResponse(200, a.Reply.Header, a.Header, a.Reply.Body)
 	case Refused:
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -12,24 +12,24 @@
 // Call is one request of a client. Its message is complete, or, if Upload is set, read up to the window that is kept for
 // resending.
 type Call struct {
-	ID         []byte        // the client's trace ID, for the log; valid until the call ends
-	Class      int           // index in the settings
-	Tenant     int           // index in the settings, 0 if there are none
-	Budget     time.Duration // until the client gives up on this request, less a margin for the response's way back
-	Repeat     bool          // marked by the client as a retry
-	Write      bool
-	Message    Message
-	ClientLeft <-chan struct{} // closed when the client has disconnected
-	Present    func() bool     // checks whether the client is still connected; after a false result ClientLeft is closed or the call has ended; nil if that is unknown
-	Upload     Upload          // the rest of a long message; nil if the message is complete
-	Origin     *Origin         // what rules match on; nil if no rules are in use
+	ID          []byte        // the client's trace ID, for the log; valid until the call ends
+	Class       int           // index in the settings
+	Tenant      int           // index in the settings, 0 if there are none
+	Budget      time.Duration // until the client gives up on this request, less a margin for the response's way back
+	Repeat      bool          // marked by the client as a retry
+	Write       bool
+	Message     Message
+	ClientLeft  <-chan struct{} // closed when the client has disconnected
+	IsConnected func() bool     // checks whether the client is still connected; after a false result ClientLeft is closed or the call has ended; nil if that is unknown
+	Upload      Upload          // the rest of a long message; nil if the message is complete
+	Origin      *Origin         // what rules match on; nil if no rules are in use
 }
 
 // Upload is the part of a call's message that is still to come.
 type Upload interface {
-	Whole() <-chan struct{} // closed when the last byte has been read
-	End() time.Time         // when the client gives up if the rest has arrived unread; moves on while the client still sends
-	Begun() bool            // part of it has been read, so that another attempt could not send it again
+	Complete() <-chan struct{} // closed when the last byte has been read
+	Deadline() time.Time       // when the client gives up if the rest has arrived unread; moves on while the client still sends
+	ReadStarted() bool         // part of it has been read, so that another attempt could not send it again
 }
 
 // Message is what an attempt sends to a worker.
@@ -58,12 +58,12 @@
 
 // Answer is the single final answer to a call.
 type Answer struct {
-	Verdict Verdict
-	Wait    time.Duration // with Refused and Limited: how long the client should stay away, 0 for no advice
-	Reply   *Reply        // with Served
-	End     time.Time     // with Served: when the client gives up
-	Header  string        // additional header lines with their line ends, written as they are
-	Written func()        // called after the whole answer has been written to the client, on the goroutine that wrote it; may be nil
+	Verdict  Verdict
+	Wait     time.Duration // with Refused and Limited: how long the client should stay away, 0 for no advice
+	Reply    *Reply        // with Served
+	Deadline time.Time     // with Served: when the client gives up
+	Header   string        // additional header lines with their line ends, written as they are
+	Written  func()        // called after the whole answer has been written to the client, on the goroutine that wrote it; may be nil
 }
 
 // Kind is what a worker's reply says about the attempt.
@@ -71,9 +71,9 @@
 
 // The kinds of reply.
 const (
-	ReplyServed Kind = iota
-	ReplyError       // the call may have run
-	ReplyFull        // the call never ran
+	ReplyServed   Kind = iota
+	ReplyError         // the call may have run
+	ReplyNeverRan      // the call never ran
 )
 
 // Reply is a worker's reply. It is complete, or only its beginning if the attempt's Result has a Rest. Header is in the
--- a/internal/protocol/figures.go
+++ b/internal/protocol/figures.go
@@ -5,20 +5,20 @@
 	"sync/atomic"
 )
 
-// Figures counts answers by class as the server writes them, and attempts once they are completely written to workers.
+// Counters counts answers by class as the server writes them, and attempts once they are completely written to workers.
 // Every counter is atomic, so that calls never wait for it. The counters start at 0 with the process.
-type Figures struct {
+type Counters struct {
 	Success, Busy, Failure []atomic.Int64 // 200; refusals (503, 429, 410); 502 and 504; by class
 	Written                atomic.Int64   // attempts of calls whose last byte was sent to a worker
 }
 
-// NewFigures returns counters for n classes.
-func NewFigures(n int) *Figures {
-	return &Figures{Success: make([]atomic.Int64, n), Busy: make([]atomic.Int64, n), Failure: make([]atomic.Int64, n)}
+// NewCounters returns counters for n classes.
+func NewCounters(n int) *Counters {
+	return &Counters{Success: make([]atomic.Int64, n), Busy: make([]atomic.Int64, n), Failure: make([]atomic.Int64, n)}
 }
 
 // answered counts an answer to a call of the given class.
-func (f *Figures) answered(class int, v Verdict) {
+func (f *Counters) answered(class int, v Verdict) {
 	if f == nil || class < 0 || class >= len(f.Success) {
 		return
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// Report is a snapshot of the counters, as the admin listener's STATS command returns it.
-type Report struct {
+// StatsReport is a snapshot of the counters, as the admin listener's STATS command returns it.
+type StatsReport struct {
 	Success      map[string]int64 `json:"success"`
 	Busy         map[string]int64 `json:"busy"`
 	Failure      map[string]int64 `json:"failure"`
@@ -44,8 +44,8 @@
 	ListAgeMs    int64            `json:"list_age_ms"` // since the registry's last response
 }
 
-// Read fills in the counters of a report, keyed by class name.
-func (f *Figures) Read(classes []string, into *Report) {
+// FillStats fills in the counters of a report, keyed by class name.
+func (f *Counters) FillStats(classes []string, into *StatsReport) {
 	into.Success, into.Busy, into.Failure = map[string]int64{}, map[string]int64{}, map[string]int64{}
 	for i, name := range classes {
 		if i < len(f.Success) {
@@ -56,7 +56,7 @@
 }
 
 // JSON returns the report on one line.
-func (r *Report) JSON() []byte {
+func (r *StatsReport) JSON() []byte {
 	b, _ := json.Marshal(r) // cannot fail: the report holds only maps, strings and numbers
 	return b
 }
--- a/internal/protocol/origin.go
+++ b/internal/protocol/origin.go
@@ -16,8 +16,8 @@
 	Path     string // normalized path after the class, "" or "/a/b", without the query
 }
 
-// Origins configures where a call's origin is read from. An empty header name or a zero segment disables that attribute.
-type Origins struct {
+// OriginConfig configures where a call's origin is read from. An empty header name or a zero segment disables that attribute.
+type OriginConfig struct {
 	Caller   string // header name
 	Version  string // header name
 	UnderWay string // name of a header that is set on calls whose booking is under way
@@ -50,7 +50,7 @@
 }
 
 // extract reads the origin of a call from its head. target is the request's path, which begins with the class.
-func (o *Origins) extract(h *head, target []byte) *Origin {
+func (o *OriginConfig) extract(h *head, target []byte) *Origin {
 	subpath := bytes.TrimPrefix(target, []byte("/"))
 	if i := bytes.IndexByte(subpath, '/'); i >= 0 {
 		subpath = subpath[i:]
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -96,7 +96,7 @@
 	list := func(items string) string { return `{"generation":4,"reset":true,"instances":[` + items + `]}` }
 	got, err := ParseList([]byte(list(good)))
 	want := &List{Generation: 4, Reset: true, Instances: []Instance{{ID: "s-1", Addr: "127.0.0.1:1", Zone: "a",
-		Lifecycle: Up, Weight: 1.5, StartedMs: 7}}}
+		Lifecycle: LifecycleUp, Weight: 1.5, StartedMs: 7}}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Errorf("%v (-want +got)\n%s", err, diff)
 	}
--- a/internal/protocol/registry.go
+++ b/internal/protocol/registry.go
@@ -19,9 +19,9 @@
 
 // The lifecycle states.
 const (
-	Removed Lifecycle = iota
+	LifecycleRemoved Lifecycle = iota
 	LifecycleDraining
-	Up
+	LifecycleUp
 )
 
 // Instance is one worker in the registry's list.
@@ -47,11 +47,11 @@
 func (l *Lifecycle) UnmarshalJSON(b []byte) error {
 	switch string(b) {
 	case `"up"`:
-		*l = Up
+		*l = LifecycleUp
 	case `"draining"`:
 		*l = LifecycleDraining
 	case `"removed"`:
-		*l = Removed
+		*l = LifecycleRemoved
 	default:
 		return fmt.Errorf("unknown lifecycle %s", b)
 	}
@@ -102,7 +102,7 @@
 	if i.ID == "" {
 		return malformed("instance without an id")
 	}
-	if i.Lifecycle == Removed {
+	if i.Lifecycle == LifecycleRemoved {
 		return nil
 	}
 	if _, port, err := net.SplitHostPort(i.Addr); err != nil || port == "" || strings.ContainsAny(i.Addr, "\r\n ") {
@@ -114,37 +114,37 @@
 	return nil
 }
 
-// Registry is a client of the service registry. It must be used by one goroutine at a time.
-type Registry struct {
-	Network transport.Network
-	Addr    string
-	Wait    time.Duration // how long a watch asks the registry to wait for changes
-	Grace   time.Duration // time limit for a response, in addition to the wait of a watch
-	conn    net.Conn
-	r       *bufio.Reader
+// RegistryClient is a client of the service registry. It must be used by one goroutine at a time.
+type RegistryClient struct {
+	Network         transport.Network
+	Addr            string
+	WatchTimeout    time.Duration // how long a watch asks the registry to wait for changes
+	ResponseTimeout time.Duration // time limit for a response, in addition to the wait of a watch
+	conn            net.Conn
+	r               *bufio.Reader
 }
 
 // Watch waits for a list that is newer than the given generation.
-func (g *Registry) Watch(ctx context.Context, since uint64) (*List, error) {
+func (g *RegistryClient) Watch(ctx context.Context, since uint64) (*List, error) {
 	target := "/catalog/members?since=" + strconv.FormatUint(since, 10) +
-		"&timeout_ms=" + strconv.FormatInt(g.Wait.Milliseconds(), 10)
-	return g.get(ctx, target, g.Wait+g.Grace)
+		"&timeout_ms=" + strconv.FormatInt(g.WatchTimeout.Milliseconds(), 10)
+	return g.get(ctx, target, g.WatchTimeout+g.ResponseTimeout)
 }
 
 // Fetch requests the complete list.
-func (g *Registry) Fetch(ctx context.Context) (*List, error) {
-	return g.get(ctx, "/catalog/members", g.Grace)
+func (g *RegistryClient) Fetch(ctx context.Context) (*List, error) {
+	return g.get(ctx, "/catalog/members", g.ResponseTimeout)
 }
 
 // Close closes the connection.
-func (g *Registry) Close() {
+func (g *RegistryClient) Close() {
 	if g.conn != nil {
 		g.conn.Close()
 		g.conn = nil
 	}
 }
 
-func (g *Registry) get(ctx context.Context, target string, limit time.Duration) (*List, error) {
+func (g *RegistryClient) get(ctx context.Context, target string, limit time.Duration) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	if g.conn == nil {
@@ -163,7 +163,7 @@
 	return list, err
 }
 
-func (g *Registry) exchange(target string) (list *List, reuse bool, err error) {
+func (g *RegistryClient) exchange(target string) (list *List, reuse bool, err error) {
 	_, err = io.WriteString(g.conn, "GET "+target+" HTTP/1.1\r\nHost: "+g.Addr+"\r\n\r\n")
 	if err != nil {
 		return nil, false, err
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -46,17 +46,17 @@
 
 // Server serves clients over HTTP/1.1: it reads their calls, passes them to the handler and writes the answers.
 type Server struct {
-	Handler  Handler
-	Classes  []string        // class names, indexed by class
-	Worth    []float64       // of a call, by class; decides which calls are refused when the processor is short; nil if all are alike
-	Longest  time.Duration   // the longest deadline of all classes; IDs of answered requests are remembered for at least that long
-	Advice   time.Duration   // how long a client stays away that is refused for lack of capacity or time, 0 for no advice
-	Draining context.Context // done from the moment on which clients are told to go elsewhere
-	Closing  context.Context // done when connections without a call are to be closed
-	Held     *atomic.Bool    // true while an operator has drained the sidecar: has the same effect as Draining
-	Figures  *Figures        // counts the calls' answers; may be nil
-	Origins  *Origins        // where calls carry what rules match on; nil if no rules are in use
-	Log      *slog.Logger
+	Handler         Handler
+	Classes         []string        // class names, indexed by class
+	Worth           []float64       // of a call, by class; decides which calls are refused when the processor is short; nil if all are alike
+	MaxDeadline     time.Duration   // the longest deadline of all classes; IDs of answered requests are remembered for at least that long
+	Advice          time.Duration   // how long a client stays away that is refused for lack of capacity or time, 0 for no advice
+	Draining        context.Context // done from the moment on which clients are told to go elsewhere
+	Closing         context.Context // done when connections without a call are to be closed
+	OperatorDrained *atomic.Bool    // true while an operator has drained the sidecar: has the same effect as Draining
+	Counters        *Counters       // counts the calls' answers; may be nil
+	OriginConfig    *OriginConfig   // where calls carry what rules match on; nil if no rules are in use
+	Log             *slog.Logger
 
 	Invariants *invariant.Monitor // counts violations of invariants; may be nil
 
@@ -130,11 +130,11 @@
 		case server.overload.shouldRefuse(call.Class, server.Worth) || call.Budget <= 0 && c.wasDelayed():
 			server.logOverload()
 			c.refuse(call)
-		case !server.requestIDs.tryAdd(c.head.get(headerTrace), c.started, server.Longest):
+		case !server.requestIDs.tryAdd(c.head.get(headerTrace), c.started, server.MaxDeadline):
 			c.reject(&httpError{409, "the id of another call"})
 		default:
 			c.handle(call)
-			server.requestIDs.finish(c.head.get(headerTrace), time.Now(), server.Longest)
+			server.requestIDs.finish(c.head.get(headerTrace), time.Now(), server.MaxDeadline)
 		}
 		if cap(c.body) > maxHeadBytes {
 			c.body = nil // large bodies are rare; an idle connection keeps no memory for them
@@ -275,8 +275,8 @@
 	remaining := c.remainingTime(expires)
 	call := &Call{ID: c.head.get(headerTrace), Class: class, Budget: remaining, Repeat: string(c.head.get(headerRetry)) == "1",
 		Message: &request{head: &c.head, body: c.body, upload: c.upload}}
-	if c.Origins != nil {
-		call.Origin = c.Origins.extract(&c.head, path)
+	if c.OriginConfig != nil {
+		call.Origin = c.OriginConfig.extract(&c.head, path)
 	}
 	if u := c.upload; u != nil {
 		u.expires = remaining
@@ -318,7 +318,7 @@
 
 // refuse answers a call without passing it to the handler. No part of it has been sent to a worker.
 func (c *client) refuse(call *Call) {
-	c.Figures.answered(call.Class, Refused)
+	c.Counters.answered(call.Class, Refused)
 	if c.upload != nil {
 		c.closing = true
 	}
@@ -333,14 +333,14 @@
 	c.overload.begin(c.Closing)
 	defer c.overload.end()
 	watcher := c.newDisconnectWatcher()
-	call.ClientLeft, call.Present = watcher.disconnected, watcher.isConnected
+	call.ClientLeft, call.IsConnected = watcher.disconnected, watcher.isConnected
 	if c.upload == nil {
 		c.ClearReadBounds()
 	}
 	go watcher.watch()
 	answer := c.Handler.Serve(call)
 	c.checkAnswered(watcher)
-	c.Figures.answered(call.Class, answer.Verdict) // before it is written: a client that has the answer finds it counted
+	c.Counters.answered(call.Class, answer.Verdict) // before it is written: a client that has the answer finds it counted
 	if c.upload != nil {
 		c.answerUpload(watcher, answer)
 		return
--- a/internal/protocol/upload.go
+++ b/internal/protocol/upload.go
@@ -52,19 +52,19 @@
 		complete: make(chan struct{}), failed: make(chan struct{}), readerDone: make(chan struct{})}
 }
 
-// Whole is closed when the client's last byte has arrived.
-func (u *upload) Whole() <-chan struct{} { return u.complete }
+// Complete is closed when the client's last byte has arrived.
+func (u *upload) Complete() <-chan struct{} { return u.complete }
 
-// End returns when the client gives up if all that is missing has arrived without having been read. A worker that accepts a
+// Deadline returns when the client gives up if all that is missing has arrived without having been read. A worker that accepts a
 // message slowly must not hide the end of the message from the sidecar.
-func (u *upload) End() time.Time {
+func (u *upload) Deadline() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.incompleteAt.Add(u.expires)
 }
 
-// Begun reports whether part of the message has been read.
-func (u *upload) Begun() bool {
+// ReadStarted reports whether part of the message has been read.
+func (u *upload) ReadStarted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.started
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -69,35 +69,35 @@
 
 // Workers sends messages to workers over HTTP/1.1.
 type Workers struct {
-	Pool    *transport.Pool
-	Columns []string // of a load report, in the order of the settings
-	Figures *Figures // counts the calls' attempts that were written completely; may be nil
+	Pool     *transport.Pool
+	Columns  []string  // of a load report, in the order of the settings
+	Counters *Counters // counts the calls' attempts that were written completely; may be nil
 }
 
-// Delegation is one attempt at a worker. Exactly one Result arrives on Done; Reply is set if that has no error.
-type Delegation struct {
+// WorkerAttempt is one attempt at a worker. Exactly one Result arrives on Done; Reply is set if that has no error.
+type WorkerAttempt struct {
 	*transport.Attempt
 	Reply *Reply
 }
 
-// Return says where an attempt's Result is sent, and the tag that it carries. With the zero value the attempt uses its own
+// ResultTarget says where an attempt's Result is sent, and the tag that it carries. With the zero value the attempt uses its own
 // Done channel; a channel shared by several attempts needs capacity for all of their results.
-type Return struct {
-	To  chan transport.Result
-	Tag int
+type ResultTarget struct {
+	Channel chan transport.Result
+	Tag     int
 }
 
 // Start sends a message to a worker. The worker is told the time that is left until end when the first byte is sent. guard
 // is asked once the connection is established; if it refuses, nothing is sent.
-func (w *Workers) Start(peer transport.Peer, m Message, end time.Time, guard transport.Guard, target Return) Delegation {
+func (w *Workers) Start(peer transport.Peer, m Message, end time.Time, guard transport.Guard, target ResultTarget) WorkerAttempt {
 	reply := &Reply{}
 	q, _ := m.(*request)
 	var written *atomic.Int64
-	if _, probing := m.(probe); !probing && w.Figures != nil {
-		written = &w.Figures.Written
+	if _, probing := m.(probe); !probing && w.Counters != nil {
+		written = &w.Counters.Written
 	}
-	return Delegation{Reply: reply, Attempt: w.Pool.Start(peer, transport.Exchange{
-		Written: written, Tag: target.Tag, Done: target.To,
+	return WorkerAttempt{Reply: reply, Attempt: w.Pool.Start(peer, transport.Exchange{
+		Written: written, Tag: target.Tag, Done: target.Channel,
 		Message:  func() net.Buffers { return m.Encode(peer.Addr, time.Until(end)) },
 		Rest:     m.Rest(),
 		MayBlock: q != nil && len(q.body)+len(q.head.raw) > transport.MaxSingleWrite,
@@ -107,9 +107,9 @@
 	})}
 }
 
-// Revoked returns an attempt that ended before it began, with the given error as its result.
-func Revoked(err error, target Return) Delegation {
-	return Delegation{Reply: &Reply{}, Attempt: transport.FailedAttempt(transport.Exchange{Tag: target.Tag, Done: target.To}, err)}
+// NewFailedAttempt returns an attempt that ended before it began, with the given error as its result.
+func NewFailedAttempt(err error, target ResultTarget) WorkerAttempt {
+	return WorkerAttempt{Reply: &Reply{}, Attempt: transport.FailedAttempt(transport.Exchange{Tag: target.Tag, Done: target.Channel}, err)}
 }
 
 // CloseIdle closes the idle connections to a worker.
@@ -153,7 +153,7 @@
 	case status == 200:
 		reply.Kind = ReplyServed
 	case (status == 503 || status == 504) && string(h.get(headerNeverRan)) == "1":
-		reply.Kind = ReplyFull
+		reply.Kind = ReplyNeverRan
 	default:
 		reply.Kind = ReplyError
 	}
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -47,7 +47,7 @@
 
 // attempt is one sending of a call to a worker.
 type attempt struct {
-	protocol.Delegation
+	protocol.WorkerAttempt
 	number          int
 	worker          decide.ServerID
 	startedAt       time.Time
@@ -102,7 +102,7 @@
 	clientLeft, endCalls := call.ClientLeft, r.endCalls
 	var uploadComplete <-chan struct{} // closed when the rest of a long message has been read
 	if call.Upload != nil {
-		uploadComplete = call.Upload.Whole()
+		uploadComplete = call.Upload.Complete()
 	}
 	handleClientLeft := func() {
 		clientLeft = nil
@@ -161,11 +161,11 @@
 			switch {
 			case status == decide.OK && final == nil:
 				a.Reply.Rest = result.Rest
-				final = &protocol.Answer{Verdict: protocol.Served, Reply: a.Reply, End: active.deadline}
+				final = &protocol.Answer{Verdict: protocol.Served, Reply: a.Reply, Deadline: active.deadline}
 				abortAll(inFlight)
 			case result.Rest != nil:
 				result.Rest.Close(false)
-			case final == nil && call.Upload != nil && call.Upload.Begun(): // part of the message was passed on and cannot be sent again
+			case final == nil && call.Upload != nil && call.Upload.ReadStarted(): // part of the message was passed on and cannot be sent again
 				final = &protocol.Answer{Verdict: protocol.Failed}
 				if status == decide.Full || status == decide.ConnectFailed || status == decide.NotRun {
 					final.Verdict = protocol.Refused
@@ -230,7 +230,7 @@
 	if c.call.Upload == nil {
 		return
 	}
-	c.deadline = c.call.Upload.End().Add(-c.budgetReduction)
+	c.deadline = c.call.Upload.Deadline().Add(-c.budgetReduction)
 	for _, a := range inFlight {
 		a.deadline = c.deadline
 	}
@@ -286,18 +286,18 @@
 	}
 	a.initialDeadline = a.deadline
 	active.attempts++
-	destination := protocol.Return{To: results, Tag: a.number}
+	destination := protocol.ResultTarget{Channel: results, Tag: a.number}
 	if cmd.peer == (transport.Peer{}) {
-		a.Delegation = protocol.Revoked(transport.ErrRevoked, destination)
+		a.WorkerAttempt = protocol.NewFailedAttempt(transport.ErrRevoked, destination)
 		return a
 	}
-	a.Delegation = r.Workers.Start(cmd.peer, active.call.Message, a.initialDeadline, a, destination)
+	a.WorkerAttempt = r.Workers.Start(cmd.peer, active.call.Message, a.initialDeadline, a, destination)
 	return a
 }
 
 // clientPresent reports whether the client is still connected. It is checked right before an attempt's first byte.
 func (c *activeCall) clientPresent() bool {
-	if !c.clientLeft.Load() && c.call.Present != nil && !c.call.Present() {
+	if !c.clientLeft.Load() && c.call.IsConnected != nil && !c.call.IsConnected() {
 		c.clientLeft.Store(true)
 	}
 	return !c.clientLeft.Load()
@@ -328,7 +328,7 @@
 	switch a.Reply.Kind {
 	case protocol.ReplyServed:
 		return decide.OK
-	case protocol.ReplyFull:
+	case protocol.ReplyNeverRan:
 		return decide.Full
 	}
 	return decide.Errored
--- a/internal/routing/concurrent_attempts_test.go
+++ b/internal/routing/concurrent_attempts_test.go
@@ -60,7 +60,7 @@
 	}
 	list := func(generation uint64, second protocol.Lifecycle, addrs ...string) *protocol.List {
 		return &protocol.List{Generation: generation, Reset: true, Instances: []protocol.Instance{
-			{ID: "one", Addr: addrs[0], Lifecycle: protocol.Up}, {ID: "two", Addr: addrs[1], Lifecycle: second}}}
+			{ID: "one", Addr: addrs[0], Lifecycle: protocol.LifecycleUp}, {ID: "two", Addr: addrs[1], Lifecycle: second}}}
 	}
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
 	for name, test := range map[string]struct {
@@ -72,7 +72,7 @@
 			f.router.applyList(f.router.registrySource, list(2, protocol.LifecycleDraining, addrs...), decide.ListFull)
 		}, false, "one"},
 		"restarted": {func(f fixture, addrs ...string) {
-			l := list(2, protocol.Up, addrs...)
+			l := list(2, protocol.LifecycleUp, addrs...)
 			l.Instances[1].StartedMs = 9
 			f.router.applyList(f.router.registrySource, l, decide.ListFull)
 		}, false, "one"},
@@ -81,7 +81,7 @@
 		"client leaves":               {func(f fixture, _ ...string) { close(f.clientLeft) }, false, ""},
 		"no change":                   {func(fixture, ...string) {}, true, "two"},
 		"first attempt's worker is drained": {func(f fixture, addrs ...string) {
-			l := list(2, protocol.Up, addrs...)
+			l := list(2, protocol.LifecycleUp, addrs...)
 			l.Instances[0].Lifecycle = protocol.LifecycleDraining
 			f.router.applyList(f.router.registrySource, l, decide.ListFull)
 		}, true, "two"},
@@ -113,7 +113,7 @@
 				Limits: decide.Limits{SecondCopies: true, Cancel: true, MaxAttempts: 2}},
 				Network: network, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{""}},
 				Workers: &protocol.Workers{Pool: transport.NewPool(network, transport.NewBudget(9), 5*time.Second, time.Minute)}},
-				&protocol.List{Generation: 1, Reset: true, Instances: []protocol.Instance{{ID: "one", Addr: addrs[0], Lifecycle: protocol.Up}}})
+				&protocol.List{Generation: 1, Reset: true, Instances: []protocol.Instance{{ID: "one", Addr: addrs[0], Lifecycle: protocol.LifecycleUp}}})
 			f := fixture{router: router, clientLeft: make(chan struct{})}
 			answers := make(chan protocol.Answer, 1)
 			evidence := make(chan struct{}) // a single call in flight would be no evidence against its worker
@@ -127,7 +127,7 @@
 			network.mu.Lock()
 			network.gates[addrs[1]] = make(chan struct{})
 			network.mu.Unlock()
-			router.applyList(router.registrySource, list(2, protocol.Up, addrs...), decide.ListFull)
+			router.applyList(router.registrySource, list(2, protocol.LifecycleUp, addrs...), decide.ListFull)
 			for receive(t, network.dials) != addrs[1] { // until the second attempt is dialing
 			}
 			test.change(f, addrs...)
--- a/internal/routing/feed.go
+++ b/internal/routing/feed.go
@@ -59,7 +59,7 @@
 type agentWatcher struct {
 	*Router
 	sub  *subscription
-	idle []*protocol.Registry // clients whose connection may still be open
+	idle []*protocol.RegistryClient // clients whose connection may still be open
 }
 
 // agentResponse is the result of one exchange with the agent.
@@ -67,7 +67,7 @@
 	list     *protocol.List
 	err      error
 	full     bool
-	registry *protocol.Registry
+	registry *protocol.RegistryClient
 }
 
 // poll asks until there is an answer: for the full list, or for what is newer than the current one. It returns false once
@@ -77,11 +77,11 @@
 	responses := make(chan agentResponse, agentMaxHedges+1)
 	inFlight := 0
 	send := func(full bool, grace time.Duration) {
-		registry := &protocol.Registry{Network: w.Network, Addr: w.sub.addr}
+		registry := &protocol.RegistryClient{Network: w.Network, Addr: w.sub.addr}
 		if n := len(w.idle); n > 0 {
 			registry, w.idle = w.idle[n-1], w.idle[:n-1]
 		}
-		registry.Wait, registry.Grace = agentWatchWait, grace
+		registry.WatchTimeout, registry.ResponseTimeout = agentWatchWait, grace
 		w.mu.Lock()
 		since := w.generation
 		w.mu.Unlock()
--- a/internal/routing/first_byte_test.go
+++ b/internal/routing/first_byte_test.go
@@ -71,7 +71,7 @@
 
 // instance returns the registry entry of a worker.
 func (s *testSidecar) instance(i int) protocol.Instance {
-	return protocol.Instance{ID: strconv.Itoa(i), Addr: s.addrs[i], Zone: "hall", Lifecycle: protocol.Up}
+	return protocol.Instance{ID: strconv.Itoa(i), Addr: s.addrs[i], Zone: "hall", Lifecycle: protocol.LifecycleUp}
 }
 
 // list returns a full list.
@@ -140,7 +140,7 @@
 		},
 		"removed": func(s *testSidecar) {
 			first := s.instance(0)
-			first.Lifecycle = protocol.Removed
+			first.Lifecycle = protocol.LifecycleRemoved
 			s.applyList(s.registrySource, &protocol.List{Generation: 10, Instances: []protocol.Instance{first, s.instance(1)}}, decide.ListDelta)
 		},
 		"missing from a full list": func(s *testSidecar) {
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -85,7 +85,7 @@
 func (r *Router) runWatch(sub *subscription) error {
 	defer sub.cancel()
 	timeouts := newRegistryTimeouts(r.Decide.Safety.PropagationLimit())
-	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr}
+	registry := &protocol.RegistryClient{Network: r.Network, Addr: sub.addr}
 	defer registry.Close()
 	for {
 		next := time.After(minWatchInterval)
@@ -93,16 +93,16 @@
 		var err error
 		kind := decide.ListDelta
 		if sub.fullListFirst {
-			registry.Grace = timeouts.fetchTimeout
+			registry.ResponseTimeout = timeouts.fetchTimeout
 			list, err = registry.Fetch(sub.ctx)
 			sub.fullListFirst, kind = false, decide.ListFull
 		} else {
 			r.mu.Lock()
 			since := r.generation
 			r.mu.Unlock()
-			registry.Wait, registry.Grace = timeouts.watchWait(rand.Float64()), timeouts.watchGrace
+			registry.WatchTimeout, registry.ResponseTimeout = timeouts.watchWait(rand.Float64()), timeouts.watchGrace
 			if sub.catchUp {
-				registry.Wait, registry.Grace = timeouts.catchUp, timeouts.fetchTimeout
+				registry.WatchTimeout, registry.ResponseTimeout = timeouts.catchUp, timeouts.fetchTimeout
 			}
 			list, err = registry.Watch(sub.ctx, since)
 		}
@@ -129,8 +129,8 @@
 	r.mu.Lock()
 	sub := &subscription{registrySource: r.registrySource}
 	r.mu.Unlock()
-	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr,
-		Grace: newRegistryTimeouts(r.Decide.Safety.PropagationLimit()).fetchTimeout}
+	registry := &protocol.RegistryClient{Network: r.Network, Addr: sub.addr,
+		ResponseTimeout: newRegistryTimeouts(r.Decide.Safety.PropagationLimit()).fetchTimeout}
 	defer registry.Close()
 	list, err := registry.Fetch(r.ctx)
 	if err != nil {
@@ -236,7 +236,7 @@
 	}
 	state := decide.Gone
 	switch instance.Lifecycle {
-	case protocol.Up:
+	case protocol.LifecycleUp:
 		state = decide.Ready
 	case protocol.LifecycleDraining:
 		state = decide.Draining
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -237,14 +237,14 @@
 	event := decide.Event{Kind: decide.ProbeResult, Server: id, Status: decide.ConnectFailed}
 	startedAt := time.Now()
 	if w := r.findWorker(id); w != nil {
-		a := r.Workers.Start(w.peer, protocol.Probe(), startedAt.Add(probeTimeout), probeGuard{r, w}, protocol.Return{})
+		a := r.Workers.Start(w.peer, protocol.Probe(), startedAt.Add(probeTimeout), probeGuard{r, w}, protocol.ResultTarget{})
 		timer := time.AfterFunc(probeTimeout, a.Abort)
 		result := <-a.Done
 		onTime := timer.Stop()
 		switch {
 		case result.Err == nil && a.Reply.Kind == protocol.ReplyServed:
 			event.Status, event.Load = decide.OK, a.Reply.Load
-		case result.Err == nil && a.Reply.Kind == protocol.ReplyFull:
+		case result.Err == nil && a.Reply.Kind == protocol.ReplyNeverRan:
 			event.Status = decide.Full
 		case result.Err == nil:
 			event.Status = decide.Errored
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -26,7 +26,7 @@
 		want                 decide.Status
 	}{
 		"served":                       {result: transport.Result{Sent: true}, want: decide.OK},
-		"full":                         {result: transport.Result{Sent: true}, kind: protocol.ReplyFull, want: decide.Full},
+		"full":                         {result: transport.Result{Sent: true}, kind: protocol.ReplyNeverRan, want: decide.Full},
 		"error":                        {result: transport.Result{Sent: true}, kind: protocol.ReplyError, want: decide.Errored},
 		"not written in full":          {result: transport.Result{Err: broken}, want: decide.ConnectFailed},
 		"broken once written":          {result: transport.Result{Sent: true, Err: broken}, want: decide.Reset},
@@ -60,7 +60,7 @@
 	list := func(generation uint64, reset bool, i ...protocol.Instance) *protocol.List {
 		return &protocol.List{Generation: generation, Reset: reset, Instances: i}
 	}
-	up := instance("a", "h:1", protocol.Up, 0)
+	up := instance("a", "h:1", protocol.LifecycleUp, 0)
 	for name, test := range map[string]struct {
 		list      *protocol.List
 		kind      decide.ListKind
@@ -69,11 +69,11 @@
 	}{
 		"no change":          {list(5, false), decide.ListDelta, true, 2},
 		"draining":           {list(6, false, instance("a", "h:1", protocol.LifecycleDraining, 0)), decide.ListDelta, false, 1},
-		"removed":            {list(6, false, instance("a", "", protocol.Removed, 0)), decide.ListDelta, false, 1},
-		"another address":    {list(6, false, instance("a", "h:2", protocol.Up, 0)), decide.ListDelta, false, 2},
-		"restarted":          {list(6, false, instance("a", "h:1", protocol.Up, 9)), decide.ListDelta, false, 2},
-		"missing, full list": {list(6, true, instance("b", "h:3", protocol.Up, 0)), decide.ListDelta, false, 1},
-		"late delta":         {list(4, false, instance("a", "h:2", protocol.Up, 0)), decide.ListDelta, true, 2},
+		"removed":            {list(6, false, instance("a", "", protocol.LifecycleRemoved, 0)), decide.ListDelta, false, 1},
+		"another address":    {list(6, false, instance("a", "h:2", protocol.LifecycleUp, 0)), decide.ListDelta, false, 2},
+		"restarted":          {list(6, false, instance("a", "h:1", protocol.LifecycleUp, 9)), decide.ListDelta, false, 2},
+		"missing, full list": {list(6, true, instance("b", "h:3", protocol.LifecycleUp, 0)), decide.ListDelta, false, 1},
+		"late delta":         {list(4, false, instance("a", "h:2", protocol.LifecycleUp, 0)), decide.ListDelta, true, 2},
 		"late fetch":         {list(4, true), decide.ListFull, true, 2},
 		"registry restarted": {list(1, true, up), decide.ListDelta, true, 1},
 		"unchanged list":     {list(6, true, up), decide.ListFull, true, 1},
@@ -81,7 +81,7 @@
 		r := New(ctx, Config{Decide: decide.Config{Classes: []decide.Class{{Aim: time.Second}}},
 			Network: transport.System{},
 			Workers: &protocol.Workers{Pool: transport.NewPool(transport.System{}, transport.NewBudget(1), time.Second, 0)},
-			Log:     logging.Discard()}, list(5, true, up, instance("b", "h:3", protocol.Up, 0)))
+			Log:     logging.Discard()}, list(5, true, up, instance("b", "h:3", protocol.LifecycleUp, 0)))
 		before := r.findWorker(1)
 		r.applyList(r.registrySource, test.list, test.kind)
 		got := []any{r.isCurrent(before), r.upWorkers, len(r.workerIDs)}
@@ -98,7 +98,7 @@
 	cancel() // so that no watch starts
 	list := func(generation uint64, id string) *protocol.List {
 		return &protocol.List{Generation: generation, Reset: true,
-			Instances: []protocol.Instance{{ID: id, Addr: "h:1", Lifecycle: protocol.Up}}}
+			Instances: []protocol.Instance{{ID: id, Addr: "h:1", Lifecycle: protocol.LifecycleUp}}}
 	}
 	r := New(ctx, Config{Registry: "old", Decide: decide.Config{Classes: []decide.Class{{Aim: time.Second}}},
 		Network: transport.System{},
--- a/internal/sim/mutant.go
+++ b/internal/sim/mutant.go
@@ -81,7 +81,7 @@
 		one("cell-forgotten", "a keyed repeat leaves its cell", "decide/rules.go",
 			"|| s.Cell == first.listed.Cell", "|| s.Zone == first.listed.Zone"),
 		{"retry-past-window", "what has been passed on in part goes out again, from its beginning", []Edit{
-			{"internal/routing/call.go", "case final == nil && call.Upload != nil && call.Upload.Begun():", "case false:"},
+			{"internal/routing/call.go", "case final == nil && call.Upload != nil && call.Upload.ReadStarted():", "case false:"},
 			{"internal/protocol/upload.go", "if u.started || u.stopped {", "if u.stopped {"},
 			{"internal/protocol/upload.go", "defer close(u.readerDone)", "defer func() { defer func() { recover() }(); close(u.readerDone) }()"}}},
 		one("long-answer-cut", "an answer is passed on up to what has come with its head, and no further", "internal/protocol/answer.go",
