--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -111,7 +111,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		enter := func(caller string) bool {
-			return g.Enter(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{Caller: caller}}).Refusal == nil
+			return g.Admit(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{Caller: caller}}).Refusal == nil
 		}
 		if !enter("app") || enter("web") {
 			t.Errorf("member %d: the rule does not hold", i)
--- a/internal/enforcement/enforcement.go
+++ b/internal/enforcement/enforcement.go
@@ -81,11 +81,11 @@
 	return g
 }
 
-// Enter is the router's question about a call.
-func (g *Enforcer) Enter(call *protocol.Call) routing.Terms {
+// Admit is the router's question about a call.
+func (g *Enforcer) Admit(call *protocol.Call) routing.CallPolicy {
 	t := g.table.Load()
 	if t == nil || call.Origin == nil || call.Class >= len(g.Classes) {
-		return routing.Terms{}
+		return routing.CallPolicy{}
 	}
 	q := rules.Call{Island: g.Island, Hall: g.Hall, Class: g.Classes[call.Class].Name, Path: call.Origin.Path, Caller: call.Origin.Caller}
 	v := t.Lookup(&q, call.Budget)
@@ -96,16 +96,16 @@
 	}
 	if !v.Allowed {
 		g.refuse(t, t.Holding(&q, rules.Callers))
-		return routing.Terms{Refusal: refused(0)}
+		return routing.CallPolicy{Refusal: refused(0)}
 	}
 	if ids := counted(t, &v); ids != nil {
 		ticket, wait, ok := g.Limits.Take(ids, min(call.Budget, v.Deadline))
 		if !ok {
 			g.refuse(t, ids[0])
-			return routing.Terms{Refusal: refused(wait)}
+			return routing.CallPolicy{Refusal: refused(wait)}
 		}
 		if v.Calls != rules.NoLimit {
-			out.Ended = func(routing.End) { g.Limits.Done(ticket) }
+			out.Ended = func(routing.CallResult) { g.Limits.Done(ticket) }
 		}
 	}
 	if keyed {
--- a/internal/enforcement/enforcement_test.go
+++ b/internal/enforcement/enforcement_test.go
@@ -100,18 +100,18 @@
 
 // enter asks about a call, and gives the answer in short.
 func (w *world) enter(class int, caller, key, path string) string {
-	terms := w.Enter(&protocol.Call{Class: class, Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: caller, Key: key, Path: path}})
+	terms := w.Admit(&protocol.Call{Class: class, Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: caller, Key: key, Path: path}})
 	return short(terms)
 }
 
-func short(terms routing.Terms) string {
+func short(terms routing.CallPolicy) string {
 	if a := terms.Refusal; a != nil {
 		return fmt.Sprintf("refused %d %v", a.Verdict, a.Wait)
 	}
 	if terms.Ended != nil {
-		terms.Ended(routing.End{})
+		terms.Ended(routing.CallResult{})
 	}
-	return fmt.Sprintf("passes %d %v %v", terms.Attempts, terms.Once, terms.Deadline)
+	return fmt.Sprintf("passes %d %v %v", terms.Attempts, terms.AtMostOnce, terms.Deadline)
 }
 
 func TestEnter(t *testing.T) {
@@ -231,7 +231,7 @@
 func TestFollow(t *testing.T) {
 	w := governed(t)
 	before := w.Version()
-	terms := w.Enter(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{}})
+	terms := w.Admit(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{}})
 	w.write(`rule */*/*#calls#a {"mode":"default","value":3,"cut":{"mode":"open"}}`)
 	if got := short(terms); got != "passes 0 false 0s" || w.took != nil {
 		t.Errorf("the call's terms changed: %s %v", got, w.took)
--- a/internal/enforcement/judge.go
+++ b/internal/enforcement/judge.go
@@ -28,8 +28,8 @@
 }
 
 // terms are what the table says of a call that passes. They only ever make stricter what its class allows.
-func terms(v *rules.Verdict, budget time.Duration) (out routing.Terms) {
-	out.Attempts, out.Once = int(v.Attempts), !v.Repeat
+func terms(v *rules.Verdict, budget time.Duration) (out routing.CallPolicy) {
+	out.Attempts, out.AtMostOnce = int(v.Attempts), !v.Repeat
 	if v.Deadline < budget {
 		out.Deadline = v.Deadline
 	}
--- a/internal/enforcement/versions.go
+++ b/internal/enforcement/versions.go
@@ -73,18 +73,18 @@
 	v.log.Info("timelines", "version", view.Version(), "timelines", t.Len())
 }
 
-// Enter is the router's question about a call: versions first, then the rules and their limits.
-func (v *Versions) Enter(call *protocol.Call) routing.Terms {
+// Admit is the router's question about a call: versions first, then the rules and their limits.
+func (v *Versions) Admit(call *protocol.Call) routing.CallPolicy {
 	b := v.board.Load()
 	if b == nil || b.Len() == 0 || call.Origin == nil || call.Origin.Version == "" || call.Class >= len(v.keys) {
-		return v.governor.Enter(call)
+		return v.governor.Admit(call)
 	}
 	g := v.governor
 	q := rules.Call{Island: g.Island, Hall: g.Hall, Class: g.Classes[call.Class].Name, Path: call.Origin.Path, Caller: call.Origin.Caller}
 	n := b.Lookup(&q, call.Origin.Version)
 	follows := b.Follows(&q, call.Origin.Version, -1)
 	if n.Timeline < 0 && follows < 0 {
-		return g.Enter(call)
+		return g.Admit(call)
 	}
 	var counts *usage.Counts
 	if n.Timeline >= 0 {
@@ -92,13 +92,13 @@
 		counts.Called()
 		switch {
 		case n.Ended:
-			return routing.Terms{Refusal: &b.ended[n.Timeline]}
+			return routing.CallPolicy{Refusal: &b.ended[n.Timeline]}
 		case n.Shed && !call.Origin.UnderWay && !v.passed(call):
 			counts.Shed(g.worth(&q))
-			return routing.Terms{Refusal: &b.refused[n.Timeline]}
+			return routing.CallPolicy{Refusal: &b.refused[n.Timeline]}
 		}
 	}
-	out := g.Enter(call)
+	out := g.Admit(call)
 	if out.Refusal != nil {
 		return out
 	}
@@ -115,13 +115,13 @@
 }
 
 // follow has a call of a successor counted at its end, for each timeline that names it.
-func (b *board) follow(q *rules.Call, version string, first int, out *routing.Terms) {
+func (b *board) follow(q *rules.Call, version string, first int, out *routing.CallPolicy) {
 	var lines []*usage.Line
 	for i := first; i >= 0; i = b.Follows(q, version, i) {
 		lines = append(lines, b.lines[i])
 	}
 	caller, before := q.Caller, out.Ended
-	out.Ended = func(end routing.End) {
+	out.Ended = func(end routing.CallResult) {
 		if before != nil {
 			before(end)
 		}
--- a/internal/enforcement/versions_test.go
+++ b/internal/enforcement/versions_test.go
@@ -41,12 +41,12 @@
 
 // versioned is a call of a version as it goes through the gate to its end, which is written whole.
 func (w *world) versioned(v *Versions, version, caller, key string, underWay bool) string {
-	terms := v.Enter(&protocol.Call{Class: 1, Budget: time.Second, Origin: &protocol.Origin{Caller: caller, Version: version, Key: key, UnderWay: underWay}})
+	terms := v.Admit(&protocol.Call{Class: 1, Budget: time.Second, Origin: &protocol.Origin{Caller: caller, Version: version, Key: key, UnderWay: underWay}})
 	if a := terms.Refusal; a != nil {
 		return fmt.Sprintf("%d %s", a.Verdict, a.Header)
 	}
 	if terms.Ended != nil {
-		terms.Ended(routing.End{Verdict: protocol.Failed})
+		terms.Ended(routing.CallResult{Verdict: protocol.Failed})
 	}
 	if terms.Written != nil {
 		terms.Written(protocol.Served)
@@ -119,7 +119,7 @@
 		t.Fatal(w.log.String())
 	}
 	c := &protocol.Call{Class: 1, Budget: time.Second, Origin: &protocol.Origin{Caller: "app", Version: "v3"}}
-	if more := testing.AllocsPerRun(100, func() { v.Enter(c) }) - testing.AllocsPerRun(100, func() { w.Enter(c) }); more > 0 {
+	if more := testing.AllocsPerRun(100, func() { v.Admit(c) }) - testing.AllocsPerRun(100, func() { w.Admit(c) }); more > 0 {
 		t.Fatalf("%g allocations a call of a version that does not end", more)
 	}
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -24,11 +24,11 @@
 // Enable enables a worker and reports whether that changed the set.
 func (s *Set) Enable(id string) bool { return remove(s.workers, id) }
 
-// DisableHall disables all workers of a zone and reports whether that changed the set.
-func (s *Set) DisableHall(name string) bool { return add(&s.zones, name) }
+// DisableZone disables all workers of a zone and reports whether that changed the set.
+func (s *Set) DisableZone(name string) bool { return add(&s.zones, name) }
 
-// EnableHall enables a zone and reports whether that changed the set. Workers disabled by ID stay disabled.
-func (s *Set) EnableHall(name string) bool { return remove(s.zones, name) }
+// EnableZone enables a zone and reports whether that changed the set. Workers disabled by ID stay disabled.
+func (s *Set) EnableZone(name string) bool { return remove(s.zones, name) }
 
 func add(to *map[string]bool, name string) bool {
 	if (*to)[name] {
@@ -108,7 +108,7 @@
 		s.Disable(id)
 	}
 	for _, name := range f.Halls {
-		s.DisableHall(name)
+		s.DisableZone(name)
 	}
 	if s.workers[""] || s.zones[""] {
 		return Set{}, fmt.Errorf("%w: an empty id", ErrInvalidFile)
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -13,8 +13,8 @@
 	if !s.Disable("a") || s.Disable("a") {
 		t.Fatal("a second Disable must not change the set")
 	}
-	if !s.DisableHall("x") || s.DisableHall("x") {
-		t.Fatal("a second DisableHall must not change the set")
+	if !s.DisableZone("x") || s.DisableZone("x") {
+		t.Fatal("a second DisableZone must not change the set")
 	}
 	for _, c := range []struct {
 		id, zone     string
@@ -30,7 +30,7 @@
 			t.Errorf("%s in %s listed %d: %d, want %d", c.id, c.zone, c.listed, got, c.want)
 		}
 	}
-	if !s.EnableHall("x") || s.State("a", "x", decide.Ready) != decide.Draining {
+	if !s.EnableZone("x") || s.State("a", "x", decide.Ready) != decide.Draining {
 		t.Fatal("a worker disabled by ID must stay disabled when its zone is enabled")
 	}
 	if !s.Enable("a") || s.Enable("a") || s.State("a", "x", decide.Ready) != decide.Ready {
@@ -42,7 +42,7 @@
 	var s Set
 	s.Disable("s-2")
 	s.Disable("s-1")
-	s.DisableHall("hall-a")
+	s.DisableZone("hall-a")
 	decoded, err := Decode(s.Encode())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operator/command.go
+++ b/internal/operator/command.go
@@ -19,8 +19,8 @@
 	Enable                      // put worker ID back into use
 	Drain                       // direct clients away from this sidecar
 	Undrain                     // end draining
-	DisableHall                 // take all workers of zone ID out of use
-	EnableHall                  // put zone ID back into use
+	DisableZone                 // take all workers of zone ID out of use
+	EnableZone                  // put zone ID back into use
 )
 
 // verbs maps command words to verbs and to what their ID identifies, "" if they take no ID. Commands and responses call
@@ -30,7 +30,7 @@
 	idKind string
 }{
 	"READY": {Ready, ""}, "STATS": {Stats, ""}, "DISABLE": {Disable, "worker"}, "ENABLE": {Enable, "worker"},
-	"DISABLE-HALL": {DisableHall, "hall"}, "ENABLE-HALL": {EnableHall, "hall"}, "DRAIN": {Drain, ""}, "UNDRAIN": {Undrain, ""},
+	"DISABLE-HALL": {DisableZone, "hall"}, "ENABLE-HALL": {EnableZone, "hall"}, "DRAIN": {Drain, ""}, "UNDRAIN": {Undrain, ""},
 }
 
 // MaxLine is the longest line that the listener reads, in bytes, including the line ending.
@@ -39,7 +39,7 @@
 // Command is a parsed command line.
 type Command struct {
 	Verb Verb
-	ID   string // a worker for Disable and Enable, a zone for DisableHall and EnableHall
+	ID   string // a worker for Disable and Enable, a zone for DisableZone and EnableZone
 }
 
 // ErrNoCommand is returned for an empty line.
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -16,7 +16,7 @@
 type Handler interface {
 	Ready() bool
 	Stats() []byte // the figures as one line of JSON, without a newline
-	// Order executes Disable, Enable, DisableHall or EnableHall within OrderTime. It returns the scope in which the change
+	// Order executes Disable, Enable, DisableZone or EnableZone within OrderTime. It returns the scope in which the change
 	// applies, "" if there is only one. If it fails, the state is unchanged and the error is sent with NAK.
 	Order(c Command) (scope string, err error)
 	Drain()   // direct clients away; idempotent
@@ -138,9 +138,9 @@
 		return []byte("NAK not ready\n")
 	case Stats:
 		return append(h.Stats(), "\n--\n"...) // the figures are sent without an ACK line
-	case Disable, Enable, DisableHall, EnableHall:
+	case Disable, Enable, DisableZone, EnableZone:
 		result := "disabled "
-		if c.Verb == Enable || c.Verb == EnableHall {
+		if c.Verb == Enable || c.Verb == EnableZone {
 			result = "enabled "
 		}
 		scope, err := h.Order(c)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -60,7 +60,7 @@
 	switch {
 	case c.ID == "never":
 		return "", errors.New("no such worker has been listed")
-	case c.Verb == Disable || c.Verb == DisableHall:
+	case c.Verb == Disable || c.Verb == DisableZone:
 		h.disabled[c.ID] = true
 	default:
 		delete(h.disabled, c.ID)
--- a/internal/orders/plan.go
+++ b/internal/orders/plan.go
@@ -47,9 +47,9 @@
 	case worker:
 		s.Enable(name)
 	case disabled:
-		s.DisableHall(name)
+		s.DisableZone(name)
 	default:
-		s.EnableHall(name)
+		s.EnableZone(name)
 	}
 }
 
--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -59,17 +59,17 @@
 func (h *adminHandler) orderViaCluster(command operator.Command) (string, error) {
 	var lookupErr error
 	target := orders.Worker(command.ID)
-	if command.Verb == operator.DisableHall || command.Verb == operator.EnableHall {
-		lookupErr, target = h.router.KnownHall(command.ID), orders.Hall(command.ID)
+	if command.Verb == operator.DisableZone || command.Verb == operator.EnableZone {
+		lookupErr, target = h.router.CheckZone(command.ID), orders.Hall(command.ID)
 	} else {
-		lookupErr = h.router.Known(command.ID)
+		lookupErr = h.router.CheckWorker(command.ID)
 	}
 	if lookupErr != nil {
 		return "", lookupErr
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	return h.orders.Order(ctx, target, command.Verb == operator.Disable || command.Verb == operator.DisableHall), nil
+	return h.orders.Order(ctx, target, command.Verb == operator.Disable || command.Verb == operator.DisableZone), nil
 }
 
 // closeMember closes the cluster member, if there is one.
--- a/internal/program/gate_bench_test.go
+++ b/internal/program/gate_bench_test.go
@@ -91,7 +91,7 @@
 		g, call := gate(b), &protocol.Call{Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: "availability", Path: "/x"}}
 		b.ReportAllocs()
 		for b.Loop() {
-			g.Enter(call).Ended(routing.End{})
+			g.Admit(call).Ended(routing.CallResult{})
 		}
 	})
 	for _, on := range []bool{false, true} {
--- a/internal/program/gate_test.go
+++ b/internal/program/gate_test.go
@@ -13,21 +13,21 @@
 )
 
 // gateFunc is a function that serves as a gate.
-type gateFunc func(call *protocol.Call) routing.Terms
+type gateFunc func(call *protocol.Call) routing.CallPolicy
 
-func (f gateFunc) Enter(call *protocol.Call) routing.Terms { return f(call) }
+func (f gateFunc) Admit(call *protocol.Call) routing.CallPolicy { return f(call) }
 
 // The terms that a gate returns for a call apply until the call ends.
 func TestGate(t *testing.T) {
-	withPolicy := func(terms routing.Terms) func(*protocol.Call) routing.Terms {
-		return func(*protocol.Call) routing.Terms { return terms }
+	withPolicy := func(terms routing.CallPolicy) func(*protocol.Call) routing.CallPolicy {
+		return func(*protocol.Call) routing.CallPolicy { return terms }
 	}
-	refuseUnlessApp := func(a protocol.Answer) func(*protocol.Call) routing.Terms {
-		return func(c *protocol.Call) routing.Terms {
+	refuseUnlessApp := func(a protocol.Answer) func(*protocol.Call) routing.CallPolicy {
+		return func(c *protocol.Call) routing.CallPolicy {
 			if c.Origin.Caller == "app" {
-				return routing.Terms{}
+				return routing.CallPolicy{}
 			}
-			return routing.Terms{Refusal: &a}
+			return routing.CallPolicy{Refusal: &a}
 		}
 	}
 	const sunset = "Sunset: soon\r\n"
@@ -63,7 +63,7 @@
 			a send "` + longCall + `"
 			a expect 429 close
 			a wait`},
-		"header lines": {gate: withPolicy(routing.Terms{Header: sunset}), script: `
+		"header lines": {gate: withPolicy(routing.CallPolicy{Header: sunset}), script: `
 			a send GET /availability/x id=t1 expires=20000m
 			w1 expect GET /availability/x id=t1
 			w1 send 200 ok
@@ -72,25 +72,25 @@
 			w1 expect POST /booking/x id=t2 body=b
 			w1 close
 			b expect 502 sunset=soon`},
-		"header lines on a long answer": {gate: withPolicy(routing.Terms{Header: sunset}), script: `
+		"header lines on a long answer": {gate: withPolicy(routing.CallPolicy{Header: sunset}), script: `
 			a send GET /availability/x id=t1 expires=6000m
 			w1 expect GET /availability/x id=t1
 			w1 send "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n<70000>"
 			a expect begins 200
 			a expect 200 sunset=soon <70000>`},
 		// One attempt where the class allows three: the call may have run, so it fails.
-		"no attempt left": {gate: withPolicy(routing.Terms{Attempts: 1}), script: `
+		"no attempt left": {gate: withPolicy(routing.CallPolicy{Attempts: 1}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 close
 			a expect 502`},
 		// A call that never ran is refused rather than failed.
-		"no attempt left, never ran": {gate: withPolicy(routing.Terms{Attempts: 1}), script: `
+		"no attempt left, never ran": {gate: withPolicy(routing.CallPolicy{Attempts: 1}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 send 503 never-ran
 			a expect 503`},
-		"no attempt left of three": {gate: withPolicy(routing.Terms{Attempts: 100}), script: `
+		"no attempt left of three": {gate: withPolicy(routing.CallPolicy{Attempts: 100}), script: `
 			a send GET /availability/x id=t1 expires=2000m
 			w1 expect GET /availability/x id=t1
 			w1 close
@@ -98,7 +98,7 @@
 			w2 send 200 ok
 			a expect 200 ok`},
 		// A call that must run at most once is retried only if the earlier attempt never ran.
-		"once": {gate: withPolicy(routing.Terms{Once: true}), script: `
+		"once": {gate: withPolicy(routing.CallPolicy{AtMostOnce: true}), script: `
 			a send POST /paid-extra/x id=t1 key=k expires=2000m body=b
 			w1 expect POST /paid-extra/x id=t1 key=k body=b
 			w1 send 503 never-ran
@@ -106,20 +106,20 @@
 			w2 close
 			a expect 502` + appCallSucceeds},
 		// It gets no second copy, and its open attempt is not cancelled in favor of another.
-		"once where copies are allowed": {known: "0=up", settings: allowSecondCopies, gate: withPolicy(routing.Terms{Once: true}), script: strings.TrimSpace(strings.TrimSuffix(secondCopySent, secondCopyArrival)) + `
+		"once where copies are allowed": {known: "0=up", settings: allowSecondCopies, gate: withPolicy(routing.CallPolicy{AtMostOnce: true}), script: strings.TrimSpace(strings.TrimSuffix(secondCopySent, secondCopyArrival)) + `
 			w2 send 200 ok
 			a expect 200 ok`},
 		// The client's own deadline is a minute, longer than the test waits.
-		"deadline": {gate: withPolicy(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
+		"deadline": {gate: withPolicy(routing.CallPolicy{Deadline: 100 * time.Millisecond}), script: `
 			a send POST /booking/x id=t1 expires=60000m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			a expect 504`},
-		"deadline of a long message": {gate: withPolicy(routing.Terms{Deadline: 100 * time.Millisecond}), script: `
+		"deadline of a long message": {gate: withPolicy(routing.CallPolicy{Deadline: 100 * time.Millisecond}), script: `
 			a send "` + longCall + `"
 			w1 expect begins POST /booking/x
 			w1 expect POST /booking/x id=t1 body=<90000>
 			a expect 502`}, // as when the client's own deadline passes while the worker has the whole request
-		"longer than the client's": {gate: withPolicy(routing.Terms{Deadline: time.Minute}), script: `
+		"longer than the client's": {gate: withPolicy(routing.CallPolicy{Deadline: time.Minute}), script: `
 			a send POST /booking/x id=t1 expires=100m body=b
 			w1 expect POST /booking/x id=t1 body=b
 			a expect 504`},
@@ -131,12 +131,12 @@
 // The gate is asked once per call whatever happens to it, sees the call's origin, and is told how the call ended.
 func TestGateSeesEveryCall(t *testing.T) {
 	var calls atomic.Int64
-	ends := make(chan routing.End, 10)
+	ends := make(chan routing.CallResult, 10)
 	origins := make(chan protocol.Origin, 10)
-	playScenario(t, scenario{gate: func(c *protocol.Call) routing.Terms {
+	playScenario(t, scenario{gate: func(c *protocol.Call) routing.CallPolicy {
 		origins <- *c.Origin
 		calls.Add(1)
-		return routing.Terms{Ended: func(e routing.End) { ends <- e }}
+		return routing.CallPolicy{Ended: func(e routing.CallResult) { ends <- e }}
 	}, script: `
 		a send GET /availability//v%32/./s/?q=1 id=t1 expires=3000m caller=app key=k
 		w1 expect GET /availability//v%32/./s/?q=1 id=t1 key=k
@@ -168,8 +168,8 @@
 	want := []any{
 		protocol.Origin{Caller: "app", Key: "k", Version: "v2", Path: "/v2/s"}, protocol.Origin{},
 		protocol.Origin{Version: "v1", Path: "/v1"}, protocol.Origin{Version: "x", Path: "/x"},
-		routing.End{Verdict: protocol.Served, Ran: true}, routing.End{Verdict: protocol.Served, Ran: true},
-		routing.End{Verdict: protocol.Failed, Ran: true}, routing.End{Verdict: protocol.Failed, ClientLeft: true, Ran: true},
+		routing.CallResult{Verdict: protocol.Served, MayHaveRun: true}, routing.CallResult{Verdict: protocol.Served, MayHaveRun: true},
+		routing.CallResult{Verdict: protocol.Failed, MayHaveRun: true}, routing.CallResult{Verdict: protocol.Failed, ClientLeft: true, MayHaveRun: true},
 	}
 	if diff := cmp.Diff(want, got); diff != "" || calls.Load() != 4 {
 		t.Errorf("asked %d times (-want +got)\n%s", calls.Load(), diff)
--- a/internal/program/invariants_test.go
+++ b/internal/program/invariants_test.go
@@ -59,9 +59,9 @@
 func TestForcedExitReportsInvariant(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	gate := func(*protocol.Call) routing.Terms {
+	gate := func(*protocol.Call) routing.CallPolicy {
 		<-release
-		return routing.Terms{}
+		return routing.CallPolicy{}
 	}
 	playScenario(t, scenario{gate: gate, script: `
 		a send GET /availability/x id=t1 expires=2000m
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -35,8 +35,8 @@
 func (h *adminHandler) Stats() []byte {
 	var report protocol.StatsReport
 	h.stats.FillStats(h.s.config.Names.Classes, &report)
-	report.Inflight = h.router.Open()
-	report.HostsListed, report.HostsDown = h.router.Hosts()
+	report.Inflight = h.router.OpenCalls()
+	report.HostsListed, report.HostsDown = h.router.WorkerCounts()
 	report.ListAgeMs = h.router.ListAge().Milliseconds()
 	return report.JSON()
 }
@@ -54,10 +54,10 @@
 			return router.Disable(command.ID)
 		case operator.Enable:
 			return router.Enable(command.ID)
-		case operator.DisableHall:
-			return router.DisableHall(command.ID)
+		case operator.DisableZone:
+			return router.DisableZone(command.ID)
 		}
-		return router.EnableHall(command.ID)
+		return router.EnableZone(command.ID)
 	})
 }
 
@@ -74,7 +74,7 @@
 		return err
 	}
 	if !h.saveMaintenance() {
-		h.router.Maintain(before)
+		h.router.SetMaintenance(before)
 		return errNotSaved
 	}
 	return nil
@@ -100,7 +100,7 @@
 func (h *adminHandler) applyClusterSet(set maintenance.Set) {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
-	h.router.Maintain(set)
+	h.router.SetMaintenance(set)
 	h.saveMaintenance()
 }
 
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -150,10 +150,10 @@
 // Addr is the address that clients connect to.
 func (s *Sidecar) Addr() net.Addr { return s.listener.Addr() }
 
-// Open is the number of calls that have not been answered yet.
-func (s *Sidecar) Open() int {
+// OpenCalls is the number of calls that have not been answered yet.
+func (s *Sidecar) OpenCalls() int {
 	if r := s.router.Load(); r != nil {
-		return r.Open()
+		return r.OpenCalls()
 	}
 	return 0
 }
@@ -238,7 +238,7 @@
 	startDrain()
 	s.log.Info("drain", "signal", signal.String()) // from now on every response asks the client to reconnect elsewhere
 	s.listener.EndBy(exitBy.Add(finalWritePeriod))
-	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()
+	defer time.AfterFunc(time.Until(exitBy), router.EndCalls).Stop()
 	time.Sleep(drainPeriod)
 	s.listener.Stop(exitBy)
 	select {
@@ -262,7 +262,7 @@
 	case <-finished:
 		s.log.Info("stop", "invariants_broken", invariants.Total())
 	case <-time.After(time.Until(exitBy) + 2*finalWritePeriod):
-		invariants.Broken(invariant.ExitInTime, "", "open", router.Open(), "reset", s.listener.ResetBusy())
+		invariants.Broken(invariant.ExitInTime, "", "open", router.OpenCalls(), "reset", s.listener.ResetBusy())
 		s.log.Error("stop_forced", "invariants_broken", invariants.Total())
 	}
 }
--- a/internal/program/scenario_test.go
+++ b/internal/program/scenario_test.go
@@ -62,7 +62,7 @@
 	known    string // entries of the initial list, in the form of "registry send"
 	sockets  int
 	settings string // replacements OLD=>NEW, such as "discovery":"subscribe"=>"discovery":"automatic"
-	gate     func(call *protocol.Call) routing.Terms
+	gate     func(call *protocol.Call) routing.CallPolicy
 	script   string
 }
 
--- a/internal/routing/call.go
+++ b/internal/routing/call.go
@@ -20,7 +20,7 @@
 	attempts   int         // number of attempts so far
 	clientLeft atomic.Bool // no further attempt may start
 
-	policy          Terms         // the gate's terms, set once
+	policy          CallPolicy    // the gate's terms, set once
 	budgetReduction time.Duration // by which the terms shorten the client's time
 	mayHaveRun      bool          // an attempt has ended that the worker may have executed
 	firstRun        firstRun      // the earliest of those attempts
@@ -127,7 +127,7 @@
 				r.dispatch(active.outcomeEvent(&attempt{number: active.attempts, worker: cmd.Server}, decide.NotRun, final != nil))
 				active.attempts++
 			case cmd.Kind == decide.Cancel &&
-				(clientLeft == nil || active.allowsAttempt(0) && !active.policy.Once): // otherwise it would be cancelled only to be sent again
+				(clientLeft == nil || active.allowsAttempt(0) && !active.policy.AtMostOnce): // otherwise it would be cancelled only to be sent again
 				for _, a := range inFlight {
 					if a.number == cmd.Attempt {
 						a.Abort()
--- a/internal/routing/first_byte_test.go
+++ b/internal/routing/first_byte_test.go
@@ -170,7 +170,7 @@
 			both(s)
 			var out maintenance.Set
 			out.Disable("0")
-			s.Maintain(out)
+			s.SetMaintenance(out)
 		},
 	} {
 		for when, retry := range map[string]bool{"first attempt": false, "further attempt": true} {
--- a/internal/routing/gate.go
+++ b/internal/routing/gate.go
@@ -9,40 +9,40 @@
 
 // Gate sets the terms of calls. It is called from many goroutines and must not block.
 type Gate interface {
-	// Enter is called once for each call, before the balancer. The terms hold until the call's end, even if the rules
+	// Admit is called once for each call, before the balancer. The terms hold until the call's end, even if the rules
 	// change in the meantime.
-	Enter(call *protocol.Call) Terms
+	Admit(call *protocol.Call) CallPolicy
 }
 
-// Terms restrict one call further than its class and the settings do; they never allow more. The zero value restricts
+// CallPolicy restricts one call further than its class and the settings do; it never allows more. The zero value restricts
 // nothing.
-type Terms struct {
+type CallPolicy struct {
 	// Refusal, if not nil, is the immediate answer to the call, which then reaches neither the balancer nor a worker. Its
 	// Wait is dropped or capped as the settings say. The Header below is not added to it.
 	Refusal *protocol.Answer
 
-	Attempts int           // maximum number of attempts; 0 for no limit
-	Once     bool          // no further attempt unless certainly none before it was executed
-	Deadline time.Duration // for the whole call; 0 for no limit
-	Header   string        // complete header lines for the final answer, each with its line ending; validated by the gate
+	Attempts   int           // maximum number of attempts; 0 for no limit
+	AtMostOnce bool          // no further attempt unless certainly none before it was executed
+	Deadline   time.Duration // for the whole call; 0 for no limit
+	Header     string        // complete header lines for the final answer, each with its line ending; validated by the gate
 
 	// Written is called when the final answer with Header has been written to the client in full; may be nil.
 	Written func(protocol.Verdict)
 
 	// Ended is called once when the call has ended, on the call's goroutine; may be nil. It is not called for a refusal.
-	Ended func(End)
+	Ended func(CallResult)
 }
 
-// End describes how a call ended.
-type End struct {
+// CallResult describes how a call ended.
+type CallResult struct {
 	Verdict    protocol.Verdict // Failed if the client left
 	ClientLeft bool             // the client left before there was an answer
-	Ran        bool             // a worker may have executed it
+	MayHaveRun bool             // a worker may have executed it
 }
 
 // admit asks the gate for the terms of a call. An answer that is not nil is the call's final one.
-func (r *Router) admit(call *protocol.Call) (Terms, *protocol.Answer) {
-	policy := r.Gate.Enter(call)
+func (r *Router) admit(call *protocol.Call) (CallPolicy, *protocol.Answer) {
+	policy := r.Gate.Admit(call)
 	if answer := policy.Refusal; answer != nil {
 		refusal := *answer
 		if refusal.Wait = min(refusal.Wait, r.Decide.Limits.MaxRetryAfter); !r.Decide.Limits.RetryAfter {
@@ -65,7 +65,7 @@
 	if c.policy.Attempts > 0 && c.attempts >= c.policy.Attempts {
 		return false
 	}
-	return !c.policy.Once || inFlight == 0 && !c.mayHaveRun
+	return !c.policy.AtMostOnce || inFlight == 0 && !c.mayHaveRun
 }
 
 // exhaustedAnswer returns the answer of a call without attempts in flight whose terms allow no further attempt.
@@ -89,7 +89,7 @@
 		answer.Written = func() { onWritten(verdict) }
 	}
 	if c.policy.Ended != nil {
-		c.policy.Ended(End{Verdict: answer.Verdict, ClientLeft: !answered, Ran: c.mayHaveRun || answer.Verdict == protocol.Served})
+		c.policy.Ended(CallResult{Verdict: answer.Verdict, ClientLeft: !answered, MayHaveRun: c.mayHaveRun || answer.Verdict == protocol.Served})
 	}
 	return answer
 }
--- a/internal/routing/maintenance.go
+++ b/internal/routing/maintenance.go
@@ -18,35 +18,35 @@
 // ErrNeverListed is returned for the ID of a worker that no list has named since the start.
 var ErrNeverListed = errors.New("no such worker has been listed")
 
-// ErrNoHall is returned for a hall that the settings do not name. Operators call a zone a hall.
-var ErrNoHall = errors.New("no such hall")
+// ErrUnknownZone is returned for a hall that the settings do not name. Operators call a zone a hall.
+var ErrUnknownZone = errors.New("no such hall")
 
 // Disable takes a worker out of use for this sidecar: until Enable, the balancer sees it as draining, whatever the
 // registry says. For an ID that was never listed it returns ErrNeverListed and changes nothing. Disabling a disabled
 // worker is no change.
 func (r *Router) Disable(id string) error {
-	return r.updateMaintenance(r.Known(id), func(s *maintenance.Set) bool { return s.Disable(id) })
+	return r.updateMaintenance(r.CheckWorker(id), func(s *maintenance.Set) bool { return s.Disable(id) })
 }
 
 // Enable puts a worker back into use; the state reported by the registry applies again. An ID that is disabled or was ever
 // listed is accepted, even if the registry has dropped it since.
 func (r *Router) Enable(id string) error {
-	return r.updateMaintenance(r.Known(id), func(s *maintenance.Set) bool { return s.Enable(id) })
+	return r.updateMaintenance(r.CheckWorker(id), func(s *maintenance.Set) bool { return s.Enable(id) })
 }
 
-// DisableHall disables all workers of a hall, including those listed there later. It returns ErrNoHall for a hall that
+// DisableZone disables all workers of a hall, including those listed there later. It returns ErrUnknownZone for a hall that
 // the settings do not name.
-func (r *Router) DisableHall(name string) error {
-	return r.updateMaintenance(r.KnownHall(name), func(s *maintenance.Set) bool { return s.DisableHall(name) })
+func (r *Router) DisableZone(name string) error {
+	return r.updateMaintenance(r.CheckZone(name), func(s *maintenance.Set) bool { return s.DisableZone(name) })
 }
 
-// EnableHall reverts DisableHall.
-func (r *Router) EnableHall(name string) error {
-	return r.updateMaintenance(r.KnownHall(name), func(s *maintenance.Set) bool { return s.EnableHall(name) })
+// EnableZone reverts DisableZone.
+func (r *Router) EnableZone(name string) error {
+	return r.updateMaintenance(r.CheckZone(name), func(s *maintenance.Set) bool { return s.EnableZone(name) })
 }
 
-// Known returns ErrNeverListed for the ID of a worker that was never listed and is not disabled.
-func (r *Router) Known(id string) error {
+// CheckWorker returns ErrNeverListed for the ID of a worker that was never listed and is not disabled.
+func (r *Router) CheckWorker(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.seenWorkers[id] && !r.Out.Out(id) {
@@ -55,17 +55,17 @@
 	return nil
 }
 
-// KnownHall returns ErrNoHall for a hall that the settings do not name.
-func (r *Router) KnownHall(name string) error {
+// CheckZone returns ErrUnknownZone for a hall that the settings do not name.
+func (r *Router) CheckZone(name string) error {
 	if !slices.Contains(r.Names.Zones, name) {
-		return fmt.Errorf("%w: %.64q", ErrNoHall, name)
+		return fmt.Errorf("%w: %.64q", ErrUnknownZone, name)
 	}
 	return nil
 }
 
-// Maintain replaces the set of disabled workers and halls, for example with the cluster's. IDs and halls that are unknown
+// SetMaintenance replaces the set of disabled workers and halls, for example with the cluster's. IDs and halls that are unknown
 // here are kept; they take effect once they are listed.
-func (r *Router) Maintain(set maintenance.Set) {
+func (r *Router) SetMaintenance(set maintenance.Set) {
 	set = set.Clone()
 	r.updateMaintenance(nil, func(s *maintenance.Set) bool { *s = set; return true })
 }
@@ -126,9 +126,9 @@
 	return r.Out.Clone()
 }
 
-// Hosts returns the number of listed workers and the number of those that this sidecar avoids because they are disabled
+// WorkerCounts returns the number of listed workers and the number of those that this sidecar avoids because they are disabled
 // or draining.
-func (r *Router) Hosts() (listed, down int) {
+func (r *Router) WorkerCounts() (listed, down int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.workers {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -112,12 +112,12 @@
 	return r.upWorkers > 0
 }
 
-// End ends all open calls because the process is about to exit: each call gets its final answer at once, however much
+// EndCalls ends all open calls because the process is about to exit: each call gets its final answer at once, however much
 // time its client has left, and its attempts are aborted.
-func (r *Router) End() { r.endOnce.Do(func() { close(r.endCalls) }) }
+func (r *Router) EndCalls() { r.endOnce.Do(func() { close(r.endCalls) }) }
 
-// Open returns the number of calls that have no answer yet.
-func (r *Router) Open() int {
+// OpenCalls returns the number of calls that have no answer yet.
+func (r *Router) OpenCalls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls)
--- a/internal/sim/mutant.go
+++ b/internal/sim/mutant.go
@@ -104,7 +104,7 @@
 			{"internal/program/run.go", "		<-acceptDone\n		s.listener.Wait()\n", "		<-acceptDone\n		time.Sleep(2 * time.Second)\n"}}},
 		{"late-calls-taken", "after a SIGTERM's time connections stay open and calls on them are taken, up to SIGKILL", []Edit{
 			{"internal/program/run.go", "	startClose()\n	finished :=", "	finished :="},
-			{"internal/program/run.go", "	s.listener.EndBy(exitBy.Add(finalWritePeriod))\n	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()\n", ""}}},
+			{"internal/program/run.go", "	s.listener.EndBy(exitBy.Add(finalWritePeriod))\n	defer time.AfterFunc(time.Until(exitBy), router.EndCalls).Stop()\n", ""}}},
 		one("slots-leak", "a client's slot is never given back", "internal/transport/listen.go",
 			"	<-l.slots\n", ""),
 	}
--- a/internal/sim/sidecar.go
+++ b/internal/sim/sidecar.go
@@ -60,7 +60,7 @@
 			continue
 		default:
 		}
-		if open := x.program.Open(); open > 0 {
+		if open := x.program.OpenCalls(); open > 0 {
 			out = append(out, fmt.Sprintf("n%d holds %d calls after the last was answered", n, open))
 		}
 	}
