--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -24,7 +24,7 @@
 
 // faults prints every fault of a file but the last, which is returned.
 func faults(a *app, err error) error {
-	var all config.Faults
+	var all config.FileErrors
 	if !errors.As(err, &all) {
 		return err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,8 +25,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Fault is an error in a configuration and its position. Line and Column count from 1 and are 0 if unknown.
-type Fault struct {
+// FileError is an error in a configuration and its position. Line and Column count from 1 and are 0 if unknown.
+type FileError struct {
 	File         string
 	Line, Column int
 	Key          string // dotted path, with [n] for list items
@@ -34,7 +34,7 @@
 }
 
 // Error implements error.
-func (f Fault) Error() string {
+func (f FileError) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at += fmt.Sprintf(":%d:%d", f.Line, f.Column)
@@ -45,11 +45,11 @@
 	return at + ": " + f.Text
 }
 
-// Faults holds all errors of a file in the order of the text.
-type Faults []Fault
+// FileErrors holds all errors of a file in the order of the text.
+type FileErrors []FileError
 
 // Error implements error. It returns the first error and the number of further ones.
-func (fs Faults) Error() string {
+func (fs FileErrors) Error() string {
 	if len(fs) == 1 {
 		return fs[0].Error()
 	}
@@ -60,7 +60,7 @@
 type File struct {
 	Name      string
 	positions map[string]Position
-	errors    Faults
+	errors    FileErrors
 }
 
 // Decode decodes text into the struct that into points to. The File is never nil; its Err returns every error.
@@ -68,7 +68,7 @@
 	f := &File{Name: name, positions: map[string]Position{}}
 	values := map[string]any{}
 	if err := toml.Unmarshal(text, &values); err != nil {
-		fault := Fault{File: name, Text: strings.TrimPrefix(err.Error(), "toml: ")}
+		fault := FileError{File: name, Text: strings.TrimPrefix(err.Error(), "toml: ")}
 		if d, ok := err.(*toml.DecodeError); ok {
 			fault.Line, fault.Column = d.Position()
 		}
@@ -80,31 +80,31 @@
 	return f
 }
 
-// Err returns all errors as a Faults, or nil if there are none.
+// Err returns all errors as a FileErrors, or nil if there are none.
 func (f *File) Err() error {
 	if len(f.errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.errors, func(a, b Fault) int {
+	slices.SortStableFunc(f.errors, func(a, b FileError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 	return f.errors
 }
 
-// Fail adds an error at a key, or at the position of the enclosing table if the key is absent.
-func (f *File) Fail(key, format string, args ...any) {
+// AddError adds an error at a key, or at the position of the enclosing table if the key is absent.
+func (f *File) AddError(key, format string, args ...any) {
 	at, path := f.positions[key], key
 	for at == (Position{}) && path != "" {
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 		at = f.positions[path]
 	}
-	f.errors = append(f.errors, Fault{f.Name, at.Line, at.Column, key, fmt.Sprintf(format, args...)})
+	f.errors = append(f.errors, FileError{f.Name, at.Line, at.Column, key, fmt.Sprintf(format, args...)})
 }
 
-// Failed reports whether there is an error at a key or at an enclosing table or list, so that later checks do not
+// HasError reports whether there is an error at a key or at an enclosing table or list, so that later checks do not
 // report the same key again. An error with the empty key means that the text could not be parsed at all.
-func (f *File) Failed(key string) bool {
-	return slices.ContainsFunc(f.errors, func(x Fault) bool {
+func (f *File) HasError(key string) bool {
+	return slices.ContainsFunc(f.errors, func(x FileError) bool {
 		rest, within := strings.CutPrefix(key, x.Key)
 		return within && (rest == "" || x.Key != "" && (rest[0] == '.' || rest[0] == '['))
 	})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -62,7 +62,7 @@
 	want := []string{"1:1 wait 5", "2:1 room pounds", "3:1 mode fast, slow", "4:1 n at least 1", "5:1 on true or false",
 		"6:1 lst unknown key", "7:1 list[1] not a number", "8:23 table.part 0 to 1", "10:3 item[0].name missing",
 		"13:3 item[1].nme unknown key", "14:3 item[1].name no text", "15:3 item[2].name missing", "16:2 extra.name missing"}
-	faults, _ := Decode("a.toml", []byte(text), &into).Err().(Faults)
+	faults, _ := Decode("a.toml", []byte(text), &into).Err().(FileErrors)
 	for i, f := range faults {
 		if i >= len(want) {
 			t.Errorf("unexpected error: %v", f)
@@ -81,15 +81,15 @@
 	f := Decode("a.toml", []byte(list), &into)
 	for key, want := range map[string]bool{"item[1].name": true, "item[2].name": true, "extra.name": true, "item": false, "item[0].name": false,
 		"item[1].part": false, "ext": false, "": false} {
-		if got := f.Failed(key); got != want {
+		if got := f.HasError(key); got != want {
 			t.Errorf("%q: Failed returned %v", key, got)
 		}
 	}
-	if at := f.Err().(Faults)[1]; at.Error() != "a.toml:4:3: item[1].name: missing" {
+	if at := f.Err().(FileErrors)[1]; at.Error() != "a.toml:4:3: item[1].name: missing" {
 		t.Errorf("error in an inline list of tables: %v", at)
 	}
 	f = Decode("a.toml", []byte("a = 1\nb = = 2\n"), &into)
-	if err := f.Err(); err == nil || !f.Failed("") || !strings.HasPrefix(err.Error(), "a.toml:2:") {
+	if err := f.Err(); err == nil || !f.HasError("") || !strings.HasPrefix(err.Error(), "a.toml:2:") {
 		t.Errorf("syntax error: %v", err)
 	}
 }
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -27,7 +27,7 @@
 		case present:
 			f.decodeField(key, v, target, field.Tag)
 		case field.Tag.Get("required") == "true":
-			f.Fail(key, "missing")
+			f.AddError(key, "missing")
 		case target.Kind() == reflect.Struct:
 			f.decodeTable(key, nil, target)
 		case field.Tag.Get("default") != "":
@@ -36,7 +36,7 @@
 	}
 	for name := range values {
 		if !known[name] {
-			f.Fail(join(path, name), "unknown key; one of %s is expected", strings.Join(names, ", "))
+			f.AddError(join(path, name), "unknown key; one of %s is expected", strings.Join(names, ", "))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 		text, ok := v.(string)
 		d, err := time.ParseDuration(text)
 		if !ok || err != nil {
-			f.Fail(key, "%s is not a duration: a string such as \"250ms\" or \"1.5s\" is expected", formatValue(v))
+			f.AddError(key, "%s is not a duration: a string such as \"250ms\" or \"1.5s\" is expected", formatValue(v))
 			return
 		}
 		target.SetInt(int64(d))
@@ -86,7 +86,7 @@
 		text, ok := v.(string)
 		s, err := ParseSize(text)
 		if !ok || err != nil {
-			f.Fail(key, "%s is not a size: a string such as \"64KiB\" is expected", formatValue(v))
+			f.AddError(key, "%s is not a size: a string such as \"64KiB\" is expected", formatValue(v))
 			return
 		}
 		target.SetInt(int64(s))
@@ -94,24 +94,24 @@
 	case target.Kind() == reflect.String:
 		s, ok := v.(string)
 		if !ok {
-			f.Fail(key, "%s is no text in quotes", formatValue(v))
+			f.AddError(key, "%s is no text in quotes", formatValue(v))
 			return
 		}
 		target.SetString(s)
 		if words := strings.Fields(tag.Get("oneof")); len(words) > 0 && !slices.Contains(words, s) {
-			f.Fail(key, "%q: one of %s is expected", s, strings.Join(words, ", "))
+			f.AddError(key, "%q: one of %s is expected", s, strings.Join(words, ", "))
 		}
 	case target.Kind() == reflect.Bool:
 		b, ok := v.(bool)
 		if !ok {
-			f.Fail(key, "%s: true or false is expected", formatValue(v))
+			f.AddError(key, "%s: true or false is expected", formatValue(v))
 			return
 		}
 		target.SetBool(b)
 	case target.Kind() == reflect.Int:
 		n, ok := v.(int64)
 		if !ok {
-			f.Fail(key, "%s is not a whole number", formatValue(v))
+			f.AddError(key, "%s is not a whole number", formatValue(v))
 			return
 		}
 		target.SetInt(n)
@@ -122,7 +122,7 @@
 			x, ok = float64(n), true
 		}
 		if !ok || math.IsNaN(x) || math.IsInf(x, 0) {
-			f.Fail(key, "%s is not a number", formatValue(v))
+			f.AddError(key, "%s is not a number", formatValue(v))
 			return
 		}
 		target.SetFloat(x)
@@ -130,7 +130,7 @@
 	case target.Kind() == reflect.Struct:
 		m, ok := v.(map[string]any)
 		if !ok {
-			f.Fail(key, "%s: a table is expected", formatValue(v))
+			f.AddError(key, "%s: a table is expected", formatValue(v))
 			return
 		}
 		f.decodeTable(key, m, target)
@@ -140,7 +140,7 @@
 	case target.Kind() == reflect.Slice:
 		list, ok := v.([]any)
 		if !ok {
-			f.Fail(key, "%s: a list is expected", formatValue(v))
+			f.AddError(key, "%s: a list is expected", formatValue(v))
 			return
 		}
 		out := reflect.MakeSlice(target.Type(), len(list), len(list))
@@ -170,6 +170,6 @@
 		return
 	}
 	if lower != "" && v < parse(lower) || upper != "" && v > parse(upper) {
-		f.Fail(key, "%s is out of range; %s is expected", displayed, Range(rangeTag))
+		f.AddError(key, "%s is out of range; %s is expected", displayed, Range(rangeTag))
 	}
 }
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -12,7 +12,7 @@
 func DecodeJSON(name string, text []byte, into any) *File {
 	f := &File{Name: name, positions: map[string]Position{}}
 	if err := json.Unmarshal(text, into); err != nil {
-		fault := Fault{File: name, Text: err.Error()}
+		fault := FileError{File: name, Text: err.Error()}
 		offset := int64(-1)
 		switch e := err.(type) {
 		case *json.SyntaxError:
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -38,8 +38,8 @@
 	return "unknown"
 }
 
-// Event is the name of the log event of a violation.
-const Event = "invariant_broken"
+// ViolationEvent is the name of the log event of a violation.
+const ViolationEvent = "invariant_broken"
 
 // Monitor counts and logs violations. A nil Monitor does nothing. It is safe for concurrent use.
 type Monitor struct {
@@ -50,13 +50,13 @@
 // NewMonitor returns a Monitor that logs to log.
 func NewMonitor(log *slog.Logger) *Monitor { return &Monitor{log: log} }
 
-// Broken counts a violation and logs it with the request's ID and further attributes as key-value pairs.
-func (m *Monitor) Broken(rule Rule, requestID string, attrs ...any) {
+// ReportViolation counts a violation and logs it with the request's ID and further attributes as key-value pairs.
+func (m *Monitor) ReportViolation(rule Rule, requestID string, attrs ...any) {
 	if m == nil {
 		return
 	}
 	m.counts[rule].Add(1)
-	m.log.Error(Event, append([]any{"rule", rule.String(), "id", requestID}, attrs...)...)
+	m.log.Error(ViolationEvent, append([]any{"rule", rule.String(), "id", requestID}, attrs...)...)
 }
 
 // Count returns the number of violations of a rule.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -17,12 +17,12 @@
 			t.Errorf("rule %d has the empty or duplicate name %q", rule, name)
 		}
 		seen[rule.String()] = true
-		m.Broken(rule, "t1", "late", "5s")
+		m.ReportViolation(rule, "t1", "late", "5s")
 		if m.Count(rule) != 1 || m.Total() != int64(rule)+1 {
 			t.Errorf("%v: counted %d of %d", rule, m.Count(rule), m.Total())
 		}
 		line, _ := out.ReadString('\n')
-		for _, want := range []string{Event, "rule=" + rule.String(), "id=t1", "late=5s"} {
+		for _, want := range []string{ViolationEvent, "rule=" + rule.String(), "id=t1", "late=5s"} {
 			if !strings.Contains(line, want) {
 				t.Errorf("%q lacks %q", line, want)
 			}
@@ -33,7 +33,7 @@
 // Callers without a monitor report violations to a nil Monitor, which must do nothing.
 func TestNilMonitor(t *testing.T) {
 	var m *Monitor
-	m.Broken(ExitInTime, "")
+	m.ReportViolation(ExitInTime, "")
 	if m.Total() != 0 {
 		t.Error("a nil monitor counts")
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -237,33 +237,33 @@
 // check looks for what no single key shows.
 func (s *Scenario) check(f *config.File) {
 	if len(s.Halls) == 0 || len(s.Halls) > 32 {
-		f.Fail("halls", "1 to 32 names are expected")
+		f.AddError("halls", "1 to 32 names are expected")
 	}
 	for i, h := range s.Halls {
 		if h == "" || strings.ContainsAny(h, ", \t\n=") || slices.Index(s.Halls, h) != i {
-			f.Fail(fmt.Sprintf("halls[%d]", i), "%q: a name of its own without spaces, commas or = is expected", h)
+			f.AddError(fmt.Sprintf("halls[%d]", i), "%q: a name of its own without spaces, commas or = is expected", h)
 		}
 	}
 	for key, list := range map[string][]float64{"hall_shares": s.Shares, "hall_traffic": s.Traffic} {
 		if len(list) > 0 && len(list) != len(s.Halls) {
-			f.Fail(key, "%d weights for %d halls", len(list), len(s.Halls))
+			f.AddError(key, "%d weights for %d halls", len(list), len(s.Halls))
 		}
 	}
 	names := map[string]bool{}
 	for i, k := range s.Kinds {
 		if names[k.Name] || strings.ContainsAny(k.Name, ", \t\n=") {
-			f.Fail(fmt.Sprintf("kind[%d].name", i), "%q: a name of its own without spaces, commas or = is expected", k.Name)
+			f.AddError(fmt.Sprintf("kind[%d].name", i), "%q: a name of its own without spaces, commas or = is expected", k.Name)
 		}
 		names[k.Name] = true
 	}
 	names = map[string]bool{}
 	for i, c := range s.Classes {
 		if names[c.Name] || strings.ContainsAny(c.Name, ", /?\t\n=") || strings.HasPrefix(c.Name, "_") {
-			f.Fail(fmt.Sprintf("class[%d].name", i), "%q: a name of its own that can be part of a path is expected", c.Name)
+			f.AddError(fmt.Sprintf("class[%d].name", i), "%q: a name of its own that can be part of a path is expected", c.Name)
 		}
 		names[c.Name] = true
 		if c.Aim > c.Deadline {
-			f.Fail(fmt.Sprintf("class[%d].aim", i), "%v is later than the deadline %v", c.Aim, c.Deadline)
+			f.AddError(fmt.Sprintf("class[%d].aim", i), "%v is later than the deadline %v", c.Aim, c.Deadline)
 		}
 	}
 	for i := range s.Faults {
@@ -273,43 +273,43 @@
 
 func (s *Scenario) checkFault(f *config.File, at string, x *Fault) {
 	if x.Hall != "" && !slices.Contains(s.Halls, x.Hall) {
-		f.Fail(at+".hall", "unknown hall %q; one of %s is expected", x.Hall, strings.Join(s.Halls, ", "))
+		f.AddError(at+".hall", "unknown hall %q; one of %s is expected", x.Hall, strings.Join(s.Halls, ", "))
 	}
 	if x.At > s.Length {
-		f.Fail(at+".at", "%v is after the day's end at %v", x.At, s.Length)
+		f.AddError(at+".at", "%v is after the day's end at %v", x.At, s.Length)
 	}
 	if x.Moment() && x.Length > 0 {
-		f.Fail(at+".length", "a %s has no length", x.Kind)
+		f.AddError(at+".length", "a %s has no length", x.Kind)
 	}
 	if !x.Moment() && x.Length == 0 && x.Kind != "" {
-		f.Fail(at+".length", "a %s needs a length above 0", x.Kind)
+		f.AddError(at+".length", "a %s needs a length above 0", x.Kind)
 	}
 	if x.Part > 0 && x.Count > 0 {
-		f.Fail(at+".count", "part and count exclude each other")
+		f.AddError(at+".count", "part and count exclude each other")
 	}
 	switch x.Kind {
 	case "hall_loss":
 		if x.Hall == "" {
-			f.Fail(at+".hall", "a hall_loss needs a hall")
+			f.AddError(at+".hall", "a hall_loss needs a hall")
 		}
 	case "slow", "cut", "reset", "spoil", "overlong", "surplus", "shrink":
 		if x.Size <= 0 || x.Size > 1 {
-			f.Fail(at+".size", "%v: a share above 0 and up to 1 is expected", x.Size)
+			f.AddError(at+".size", "%v: a share above 0 and up to 1 is expected", x.Size)
 		}
 	case "registry_lag":
 		if x.Extra <= 0 {
-			f.Fail(at+".extra", "the added delay is missing")
+			f.AddError(at+".extra", "the added delay is missing")
 		}
 	case "hold":
 		if x.Extra <= 0 {
-			f.Fail(at+".extra", "how long a process is held up is missing")
+			f.AddError(at+".extra", "how long a process is held up is missing")
 		}
 	case "list_late":
 		if !s.Registry.Pushed {
-			f.Fail(at+".kind", "a list_late is for lists that are pushed")
+			f.AddError(at+".kind", "a list_late is for lists that are pushed")
 		}
 		if x.Extra <= 0 && !x.Silent {
-			f.Fail(at+".extra", "how long answers are held back is missing")
+			f.AddError(at+".extra", "how long answers are held back is missing")
 		}
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -47,7 +47,7 @@
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
-	if _, err := Parse("x", []byte(top+"workers = 0\nsidecars = 0")); len(err.(config.Faults)) != 2 {
+	if _, err := Parse("x", []byte(top+"workers = 0\nsidecars = 0")); len(err.(config.FileErrors)) != 2 {
 		t.Errorf("not every fault is told: %v", err)
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -41,7 +41,7 @@
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
-		if strings.Contains(scanner.Text(), "event="+invariant.Event) {
+		if strings.Contains(scanner.Text(), "event="+invariant.ViolationEvent) {
 			lines = append(lines, filepath.Base(path)+": "+scanner.Text())
 		}
 	}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -55,11 +55,11 @@
 // Len returns the number of disabled workers and zones.
 func (s *Set) Len() int { return len(s.workers) + len(s.zones) }
 
-// IDs returns the IDs of the disabled workers, sorted.
-func (s *Set) IDs() []string { return sorted(s.workers) }
+// WorkerIDs returns the IDs of the disabled workers, sorted.
+func (s *Set) WorkerIDs() []string { return sorted(s.workers) }
 
-// Halls returns the names of the disabled zones, sorted.
-func (s *Set) Halls() []string { return sorted(s.zones) }
+// Zones returns the names of the disabled zones, sorted.
+func (s *Set) Zones() []string { return sorted(s.zones) }
 
 func sorted(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
 
@@ -79,15 +79,15 @@
 const fileKind = "burlpass maintenance 1"
 
 type file struct {
-	Kind  string   `json:"kind"`
-	Out   []string `json:"out"`
-	Halls []string `json:"halls,omitempty"`
+	Kind    string   `json:"kind"`
+	Workers []string `json:"out"`
+	Zones   []string `json:"halls,omitempty"`
 }
 
 // Encode returns the set in the form in which it is stored across restarts.
 func (s *Set) Encode() []byte {
-	out := append([]string{}, s.IDs()...)                                  // encoded as a list even if empty
-	b, _ := json.Marshal(file{Kind: fileKind, Out: out, Halls: s.Halls()}) // cannot fail: the fields are strings
+	out := append([]string{}, s.WorkerIDs()...)                                // encoded as a list even if empty
+	b, _ := json.Marshal(file{Kind: fileKind, Workers: out, Zones: s.Zones()}) // cannot fail: the fields are strings
 	return append(b, '\n')
 }
 
@@ -104,10 +104,10 @@
 		return Set{}, fmt.Errorf("%w: kind %.40q", ErrInvalidFile, f.Kind)
 	}
 	var s Set
-	for _, id := range f.Out {
+	for _, id := range f.Workers {
 		s.Disable(id)
 	}
-	for _, name := range f.Halls {
+	for _, name := range f.Zones {
 		s.DisableZone(name)
 	}
 	if s.workers[""] || s.zones[""] {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff([]string{"s-1", "s-2", "hall-a"}, append(decoded.IDs(), decoded.Halls()...)); d != "" {
+	if d := cmp.Diff([]string{"s-1", "s-2", "hall-a"}, append(decoded.WorkerIDs(), decoded.Zones()...)); d != "" {
 		t.Error(d)
 	}
 	for name, text := range map[string]string{
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Handler executes the listener's commands. Every method except Order must return at once, without waiting for calls
+// Handler executes the listener's commands. Every method except ApplyMaintenance must return at once, without waiting for calls
 // or workers.
 type Handler interface {
 	Ready() bool
 	Stats() []byte // the figures as one line of JSON, without a newline
-	// Order executes Disable, Enable, DisableZone or EnableZone within OrderTime. It returns the scope in which the change
+	// ApplyMaintenance executes Disable, Enable, DisableZone or EnableZone within OrderTimeout. It returns the scope in which the change
 	// applies, "" if there is only one. If it fails, the state is unchanged and the error is sent with NAK.
-	Order(c Command) (scope string, err error)
+	ApplyMaintenance(c Command) (scope string, err error)
 	Drain()   // direct clients away; idempotent
 	Undrain() // end draining; idempotent
 }
@@ -26,8 +26,8 @@
 const (
 	// LineTimeout is how long after its accept a connection may take to send its line before it is closed.
 	LineTimeout = time.Second
-	// OrderTime bounds Handler.Order, so that the response is sent within a second.
-	OrderTime = 800 * time.Millisecond
+	// OrderTimeout bounds Handler.ApplyMaintenance, so that the response is sent within a second.
+	OrderTimeout = 800 * time.Millisecond
 	// writeTimeout bounds writing the response, so that a client that does not read cannot hold its connection.
 	writeTimeout = time.Second
 	// MaxConns is the maximum number of open connections.
@@ -143,7 +143,7 @@
 		if c.Verb == Enable || c.Verb == EnableZone {
 			result = "enabled "
 		}
-		scope, err := h.Order(c)
+		scope, err := h.ApplyMaintenance(c)
 		if err != nil {
 			return nak(err)
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -54,7 +54,7 @@
 
 func (h *fakeHandler) Ready() bool   { h.mu.Lock(); defer h.mu.Unlock(); return h.ready }
 func (h *fakeHandler) Stats() []byte { return []byte(`{"inflight":0}`) }
-func (h *fakeHandler) Order(c Command) (string, error) {
+func (h *fakeHandler) ApplyMaintenance(c Command) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
--- a/internal/orders/keeper.go
+++ b/internal/orders/keeper.go
@@ -73,10 +73,10 @@
 	}
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		for _, id := range c.Start.IDs() {
+		for _, id := range c.Start.WorkerIDs() {
 			k.pending = append(k.pending, newOrder(Worker(id), true))
 		}
-		for _, name := range c.Start.Halls() {
+		for _, name := range c.Start.Zones() {
 			k.pending = append(k.pending, newOrder(Hall(name), true))
 		}
 	case err != nil:
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -74,7 +74,7 @@
 		was.Disable(id)
 	}
 	p.Keeper = New(Config{Member: m, By: "test", Start: was, Log: slog.New(slog.DiscardHandler),
-		Apply: func(s maintenance.Set) { p.sets <- strings.Join(append(s.IDs(), s.Halls()...), ",") },
+		Apply: func(s maintenance.Set) { p.sets <- strings.Join(append(s.WorkerIDs(), s.Zones()...), ",") },
 		Load: func() ([]byte, error) {
 			if p.saved == nil {
 				return nil, os.ErrNotExist
--- a/internal/program/cluster.go
+++ b/internal/program/cluster.go
@@ -21,9 +21,9 @@
 	Close() error
 }
 
-// orderTimeout bounds how long an order may take to commit while the operator waits; the rest of operator.OrderTime is left
+// orderTimeout bounds how long an order may take to commit while the operator waits; the rest of operator.OrderTimeout is left
 // for the reply.
-const orderTimeout = operator.OrderTime - 100*time.Millisecond
+const orderTimeout = operator.OrderTimeout - 100*time.Millisecond
 
 // startOrders applies the cluster's maintenance orders to the router until ctx is done. It does nothing without a cluster.
 func (s *Sidecar) startOrders(ctx context.Context, handler *adminHandler, start maintenance.Set) {
@@ -37,7 +37,7 @@
 		Log:    s.log,
 		Apply: func(set maintenance.Set) {
 			handler.applyClusterSet(set)
-			s.log.Info("maintenance", "out", set.IDs(), "halls", set.Halls())
+			s.log.Info("maintenance", "out", set.WorkerIDs(), "halls", set.Zones())
 		},
 		Load: func() ([]byte, error) { return os.ReadFile(s.ordersPath()) },
 		Save: func(b []byte) error { return writeFileAtomic(s.ordersPath(), b) },
--- a/internal/program/cluster_config.go
+++ b/internal/program/cluster_config.go
@@ -63,7 +63,7 @@
 	if checker.listen = checker.checkAddr("cluster.listen", c.Listen); checker.listen.IsValid() {
 		for _, other := range others {
 			if conflictsWith(checker.listen, other) {
-				file.Fail("cluster.listen", "%s is already the sidecar's %s address; use a separate address", c.Listen, other.key)
+				file.AddError("cluster.listen", "%s is already the sidecar's %s address; use a separate address", c.Listen, other.key)
 			}
 		}
 	}
@@ -74,16 +74,16 @@
 	for i, observer := range c.Follow {
 		checker.checkPeer(fmt.Sprintf("cluster.follow[%d]", i), observer, "observer")
 	}
-	if n := len(c.Voters); (n%2 == 0 || n > maxVoters) && !file.Failed("cluster.voters") {
-		file.Fail("cluster.voters", "%d voters; must be 1, 3, 5 or 7", n)
+	if n := len(c.Voters); (n%2 == 0 || n > maxVoters) && !file.HasError("cluster.voters") {
+		file.AddError("cluster.voters", "%d voters; must be 1, 3, 5 or 7", n)
 	}
 	switch {
-	case file.Failed("cluster.folder"):
+	case file.HasError("cluster.folder"):
 	case c.Folder == "" && c.Voting():
-		file.Fail("cluster.folder", "missing; voter %q requires a folder", c.Member)
+		file.AddError("cluster.folder", "missing; voter %q requires a folder", c.Member)
 	case c.Folder != "" && checkDir:
 		if err := checkWritableDir(c.Folder); err != nil {
-			file.Fail("cluster.folder", "%v", err)
+			file.AddError("cluster.folder", "%v", err)
 		}
 	}
 }
@@ -99,11 +99,11 @@
 
 // checkName checks the syntax of a name. It returns false if the name is missing or invalid, so that no further checks apply.
 func (m *memberChecker) checkName(key, name string) bool {
-	if m.file.Failed(key) {
+	if m.file.HasError(key) {
 		return false
 	}
 	if !memberNamePattern.MatchString(name) {
-		m.file.Fail(key, "%q: must be 1 to 64 letters, digits, '.', '_' or '-'", name)
+		m.file.AddError(key, "%q: must be 1 to 64 letters, digits, '.', '_' or '-'", name)
 		return false
 	}
 	return true
@@ -111,12 +111,12 @@
 
 // checkAddr parses an address. The result is the invalid zero value if the address is missing or malformed.
 func (m *memberChecker) checkAddr(key, addr string) netip.AddrPort {
-	if m.file.Failed(key) {
+	if m.file.HasError(key) {
 		return netip.AddrPort{}
 	}
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil || !parsed.Addr().Is4() {
-		m.file.Fail(key, "%q: must be an IPv4 address and port, such as 127.0.0.1:7101", addr)
+		m.file.AddError(key, "%q: must be an IPv4 address and port, such as 127.0.0.1:7101", addr)
 		return netip.AddrPort{}
 	}
 	return parsed
@@ -126,11 +126,11 @@
 	if nameKey := key + ".name"; m.checkName(nameKey, p.Name) {
 		switch knownRole, seen := m.roleByName[p.Name]; {
 		case knownRole == role:
-			m.file.Fail(nameKey, "%q is listed twice", p.Name)
+			m.file.AddError(nameKey, "%q is listed twice", p.Name)
 		case seen:
-			m.file.Fail(nameKey, "%q is a %s, not an observer", p.Name, knownRole)
+			m.file.AddError(nameKey, "%q is a %s, not an observer", p.Name, knownRole)
 		case role == "observer" && p.Name == m.cluster.Member:
-			m.file.Fail(nameKey, "%q is this member itself", p.Name)
+			m.file.AddError(nameKey, "%q is this member itself", p.Name)
 		default:
 			m.roleByName[p.Name] = role
 		}
@@ -140,11 +140,11 @@
 	switch owner := m.ownerByAddr[parsed]; {
 	case !parsed.IsValid():
 	case parsed.Port() == 0 || parsed.Addr().IsUnspecified():
-		m.file.Fail(addrKey, "%s is not a reachable address", p.Addr)
+		m.file.AddError(addrKey, "%s is not a reachable address", p.Addr)
 	case owner != "":
-		m.file.Fail(addrKey, "%s is already the address of %q", p.Addr, owner)
-	case parsed == m.listen && p.Name != m.cluster.Member && !m.file.Failed("cluster.member"):
-		m.file.Fail(addrKey, "%s is this member's own listen address", p.Addr)
+		m.file.AddError(addrKey, "%s is already the address of %q", p.Addr, owner)
+	case parsed == m.listen && p.Name != m.cluster.Member && !m.file.HasError("cluster.member"):
+		m.file.AddError(addrKey, "%s is this member's own listen address", p.Addr)
 	default:
 		m.ownerByAddr[parsed] = cmp.Or(p.Name, key)
 	}
--- a/internal/program/config.go
+++ b/internal/program/config.go
@@ -169,9 +169,9 @@
 }
 
 // Check reads a configuration file and returns all of its faults. The error is set if the file could not be read at all.
-func Check(path string) (config.Faults, error) {
+func Check(path string) (config.FileErrors, error) {
 	_, err := (&Config{Path: path}).read()
-	var faults config.Faults
+	var faults config.FileErrors
 	if errors.As(err, &faults) {
 		return faults, nil
 	}
@@ -203,42 +203,42 @@
 // check validates the settings that both file formats share, including rules that span several values.
 func (c *Config) check(file *config.File, keys settingKeys) {
 	if !(c.Limits.Cores > 0) {
-		file.Fail("limits.cores", "%v: must be greater than 0", c.Limits.Cores)
+		file.AddError("limits.cores", "%v: must be greater than 0", c.Limits.Cores)
 	}
 	if c.Limits.MemoryMB <= 0 {
-		file.Fail(keys.memory, "must be greater than 0")
+		file.AddError(keys.memory, "must be greater than 0")
 	}
 	if c.Limits.Sockets <= 0 {
-		file.Fail("limits.sockets", "must be greater than 0")
+		file.AddError("limits.sockets", "must be greater than 0")
 	}
 	settings := &c.Decide
 	if settings.ConnectTime <= 0 {
-		file.Fail(keys.connectTimeout, "must be greater than 0, otherwise every connection attempt times out")
+		file.AddError(keys.connectTimeout, "must be greater than 0, otherwise every connection attempt times out")
 	}
 	if settings.Limits.MaxAttempts < 1 {
-		file.Fail(keys.maxAttempts, "must be at least 1")
+		file.AddError(keys.maxAttempts, "must be at least 1")
 	}
 	if settings.Safety.FallMultiple < 1 {
-		file.Fail(keys.fallMultiple, "%v: must be at least 1", settings.Safety.FallMultiple)
+		file.AddError(keys.fallMultiple, "%v: must be at least 1", settings.Safety.FallMultiple)
 	}
 	if settings.Safety.StartShare <= 0 || settings.Safety.StartShare > 1 {
-		file.Fail(keys.startCapacity, "%v: must be greater than 0 and at most 1", settings.Safety.StartShare)
+		file.AddError(keys.startCapacity, "%v: must be greater than 0 and at most 1", settings.Safety.StartShare)
 	}
 	if len(settings.Classes) == 0 {
-		file.Fail(keys.classes, "at least one class is required")
+		file.AddError(keys.classes, "at least one class is required")
 	}
 	if len(c.Names.Zones) > 0 && (settings.Zone < 0 || settings.Zone >= len(c.Names.Zones)) {
-		file.Fail(keys.zone, "%d is not an index into the list of %d zones", settings.Zone, len(c.Names.Zones))
+		file.AddError(keys.zone, "%d is not an index into the list of %d zones", settings.Zone, len(c.Names.Zones))
 	}
 	seen := map[string]bool{}
 	for i, name := range c.Names.Classes {
 		key := fmt.Sprintf("%s[%d]", keys.classes, i)
 		if name == "" || strings.ContainsAny(name, "/? \t\r\n") || seen[name] {
-			file.Fail(key+".name", "%q: must be a unique name that can be a path segment", name)
+			file.AddError(key+".name", "%q: must be a unique name that can be a path segment", name)
 		}
 		seen[name] = true
 		if i < len(settings.Classes) && settings.Classes[i].Effect == decide.Keyed && settings.Classes[i].Window <= 0 {
-			file.Fail(key+"."+keys.window, "a keyed class requires a window greater than 0")
+			file.AddError(key+"."+keys.window, "a keyed class requires a window greater than 0")
 		}
 	}
 }
--- a/internal/program/config_json.go
+++ b/internal/program/config_json.go
@@ -34,20 +34,20 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(document.Seed, 16, 64); err != nil {
-		faults.Fail("seed", "%q: must be a 64-bit hexadecimal number", document.Seed)
+		faults.AddError("seed", "%q: must be a 64-bit hexadecimal number", document.Seed)
 	}
 	c.Limits = document.Limits
 	if c.Known, err = protocol.ParseList(document.Known); err != nil {
-		faults.Fail("known", "%v", err)
+		faults.AddError("known", "%v", err)
 	}
 	flattened, err := flattenSettings(document.Settings)
 	if err != nil {
-		faults.Fail("settings", "%v", err)
+		faults.AddError("settings", "%v", err)
 		return instanceSettings{}, faults.Err()
 	}
 	settings, settingFaults := wire.CheckSettings(flattened)
 	for _, fault := range settingFaults {
-		faults.Fail("settings."+bracketIndices(fault.Key), "%s", fault.Text)
+		faults.AddError("settings."+bracketIndices(fault.Key), "%s", fault.Text)
 	}
 	c.Decide = settings
 	var names struct {
@@ -56,7 +56,7 @@
 		Classes []struct{ Name string } `json:"classes"`
 	}
 	if err := json.Unmarshal(document.Settings, &names); err != nil {
-		faults.Fail("settings", "%v", err)
+		faults.AddError("settings", "%v", err)
 	}
 	c.Names = routing.Names{Zones: names.Zones, Kinds: names.Kinds}
 	for _, class := range names.Classes {
--- a/internal/program/config_toml.go
+++ b/internal/program/config_toml.go
@@ -112,32 +112,32 @@
 func (c *Config) parseTOML(text []byte) (instanceSettings, error) {
 	var file tomlFile
 	faults := config.Decode(cmp.Or(c.Path, "configuration"), text, &file)
-	if faults.Failed("") {
+	if faults.HasError("") {
 		return instanceSettings{}, faults.Err()
 	}
 	c.Seed = rand.Uint64()
 	if file.Seed != "" {
 		var err error
 		if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-			faults.Fail("seed", "%q: must be a 64-bit hexadecimal number", file.Seed)
+			faults.AddError("seed", "%q: must be a 64-bit hexadecimal number", file.Seed)
 		}
 	}
 	c.Limits = Limits{file.Limits.Cores, int(file.Limits.Memory >> 20), file.Limits.Sockets}
 	c.Names = routing.Names{Zones: file.Zones, Kinds: file.Kinds}
 	zone := slices.Index(file.Zones, file.Zone)
 	if zone < 0 && file.Zone != "" {
-		faults.Fail("zone", "%q is not listed in zones", file.Zone)
+		faults.AddError("zone", "%q is not listed in zones", file.Zone)
 	}
 	for _, address := range [][2]string{{"listen", file.Listen}, {"registry", file.Registry}, {"operator", file.Operator}} {
 		if address[0] == "operator" && address[1] == "" {
 			continue
 		}
 		if err := checkAddress(address[1]); err != nil {
-			faults.Fail(address[0], "%v", err)
+			faults.AddError(address[0], "%v", err)
 		}
 	}
 	if file.Ordinal >= file.Sidecars && file.Ordinal > 0 {
-		faults.Fail("ordinal", "%d: must be less than the number of sidecars", file.Ordinal)
+		faults.AddError("ordinal", "%d: must be less than the number of sidecars", file.Ordinal)
 	}
 	c.Decide = decide.Config{
 		Zone:           max(zone, 0),
@@ -189,23 +189,23 @@
 			Window:    class.Window,
 		})
 		if class.Aim > class.Deadline {
-			faults.Fail(fmt.Sprintf("class[%d].aim", i), "%v is longer than the deadline %v", class.Aim, class.Deadline)
+			faults.AddError(fmt.Sprintf("class[%d].aim", i), "%v is longer than the deadline %v", class.Aim, class.Deadline)
 		}
 	}
 	c.Known = &protocol.List{Reset: true}
 	for i, worker := range file.Workers {
 		key := fmt.Sprintf("worker[%d]", i)
 		if err := checkAddress(worker.Address); err != nil && worker.Address != "" {
-			faults.Fail(key+".address", "%v", err)
+			faults.AddError(key+".address", "%v", err)
 		}
 		if !slices.Contains(file.Zones, worker.Zone) && worker.Zone != "" {
-			faults.Fail(key+".zone", "%q is not listed in zones", worker.Zone)
+			faults.AddError(key+".zone", "%q is not listed in zones", worker.Zone)
 		}
 		if !slices.Contains(file.Kinds, worker.Kind) {
-			faults.Fail(key+".kind", "%q is not listed in machine_kinds", worker.Kind)
+			faults.AddError(key+".kind", "%q is not listed in machine_kinds", worker.Kind)
 		}
 		if slices.ContainsFunc(file.Workers[:i], func(other fileWorker) bool { return other.ID == worker.ID }) {
-			faults.Fail(key+".id", "%q is listed twice", worker.ID)
+			faults.AddError(key+".id", "%q is listed twice", worker.ID)
 		}
 		c.Known.Instances = append(c.Known.Instances, protocol.Instance{
 			ID:        worker.ID,
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -41,9 +41,9 @@
 	return report.JSON()
 }
 
-// Order applies a maintenance order to this sidecar and persists it. In a cluster, the returned text says whether the order
+// ApplyMaintenance applies a maintenance order to this sidecar and persists it. In a cluster, the returned text says whether the order
 // took effect at all members.
-func (h *adminHandler) Order(command operator.Command) (string, error) {
+func (h *adminHandler) ApplyMaintenance(command operator.Command) (string, error) {
 	if h.orders != nil {
 		return h.orderViaCluster(command)
 	}
--- a/internal/program/rules.go
+++ b/internal/program/rules.go
@@ -46,11 +46,11 @@
 		{"cluster.under_way", c.UnderWay, "the name of a header", headerNamePattern},
 	} {
 		switch {
-		case v.text == "" || file.Failed(v.key):
+		case v.text == "" || file.HasError(v.key):
 		case !v.pattern.MatchString(v.text):
-			file.Fail(v.key, "%q: must be %s", v.text, v.expected)
-		case !c.Rules && !file.Failed("cluster.rules"):
-			file.Fail(v.key, "has no effect without rules = true")
+			file.AddError(v.key, "%q: must be %s", v.text, v.expected)
+		case !c.Rules && !file.HasError("cluster.rules"):
+			file.AddError(v.key, "has no effect without rules = true")
 		}
 	}
 }
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -186,7 +186,7 @@
 	}, cfg.Known)
 	s.router.Store(router)
 	if maintenanceSet.Len() > 0 {
-		s.log.Info("maintenance", "out", strings.Join(maintenanceSet.IDs(), ","), "halls", strings.Join(maintenanceSet.Halls(), ","))
+		s.log.Info("maintenance", "out", strings.Join(maintenanceSet.WorkerIDs(), ","), "halls", strings.Join(maintenanceSet.Zones(), ","))
 	}
 	retryAfter := time.Duration(0)
 	if cfg.Decide.Limits.RetryAfter {
@@ -262,7 +262,7 @@
 	case <-finished:
 		s.log.Info("stop", "invariants_broken", invariants.Total())
 	case <-time.After(time.Until(exitBy) + 2*finalWritePeriod):
-		invariants.Broken(invariant.ExitInTime, "", "open", router.OpenCalls(), "reset", s.listener.ResetBusy())
+		invariants.ReportViolation(invariant.ExitInTime, "", "open", router.OpenCalls(), "reset", s.listener.ResetBusy())
 		s.log.Error("stop_forced", "invariants_broken", invariants.Total())
 	}
 }
--- a/internal/program/syscall_failure_test.go
+++ b/internal/program/syscall_failure_test.go
@@ -118,7 +118,7 @@
 			}
 			clients.Wait()
 			t.Log(answers)
-			if text, err := os.ReadFile(log.Name()); err != nil || strings.Contains(string(text), invariant.Event) {
+			if text, err := os.ReadFile(log.Name()); err != nil || strings.Contains(string(text), invariant.ViolationEvent) {
 				t.Errorf("an invariant was broken: %v\n%s", err, text)
 			}
 			if id, times := mostAttempts(); times > 1 {
--- a/internal/protocol/time.go
+++ b/internal/protocol/time.go
@@ -46,7 +46,7 @@
 	}
 	stopped := transport.Latest(c.LastByte(), c.lastAnswered)
 	if since := time.Since(stopped); since > stoppedClientLimit {
-		c.Invariants.Broken(invariant.StoppedClientEnded, string(c.head.get(headerTrace)), "stage", c.readStage, "since_last_byte", since)
+		c.Invariants.ReportViolation(invariant.StoppedClientEnded, string(c.head.get(headerTrace)), "stage", c.readStage, "since_last_byte", since)
 	}
 }
 
@@ -56,6 +56,6 @@
 		return
 	}
 	if late := time.Since(c.deadline); late > lostAnswerDelay && !watcher.hasDisconnected() {
-		c.Invariants.Broken(invariant.AnsweredInTime, string(c.head.get(headerTrace)), "late", late)
+		c.Invariants.ReportViolation(invariant.AnsweredInTime, string(c.head.get(headerTrace)), "late", late)
 	}
 }
--- a/internal/routing/guard.go
+++ b/internal/routing/guard.go
@@ -54,7 +54,7 @@
 	if active.call.Class >= len(r.Decide.Classes) || first.mayRepeat(&r.Decide.Classes[active.call.Class], cmd, time.Now()) {
 		return true
 	}
-	r.Invariants.Broken(invariant.RepeatAllowed, string(active.call.ID),
+	r.Invariants.ReportViolation(invariant.RepeatAllowed, string(active.call.ID),
 		"attempt", active.attempts, "first", time.Since(first.startedAt))
 	return false
 }
@@ -71,19 +71,19 @@
 	r, active := a.router, a.activeCall
 	attributes := []any{"attempt", a.number, "after", delay}
 	if !active.clientPresent() {
-		r.Invariants.Broken(invariant.ClientPresent, string(active.call.ID), attributes...)
+		r.Invariants.ReportViolation(invariant.ClientPresent, string(active.call.ID), attributes...)
 	}
 	if !r.mayStart(a.command) && delay > r.Decide.Safety.DrainGrace {
-		r.Invariants.Broken(invariant.BackendListed, string(active.call.ID), attributes...)
+		r.Invariants.ReportViolation(invariant.BackendListed, string(active.call.ID), attributes...)
 	}
 	if active.call.Upload != nil {
 		return
 	}
 	if late := time.Since(a.initialDeadline); late > r.Decide.Safety.AnswerSlack {
-		r.Invariants.Broken(invariant.WithinDeadline, string(active.call.ID), append(attributes, "late", late)...)
+		r.Invariants.ReportViolation(invariant.WithinDeadline, string(active.call.ID), append(attributes, "late", late)...)
 	}
 	if delay > deadlineToldSlack {
-		r.Invariants.Broken(invariant.DeadlineTold, string(active.call.ID), attributes...)
+		r.Invariants.ReportViolation(invariant.DeadlineTold, string(active.call.ID), attributes...)
 	}
 }
 
