--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -24,11 +24,11 @@
 // Enable enables a worker and reports whether that changed the set.
 func (s *Set) Enable(id string) bool { return remove(s.workers, id) }
 
-// DisableHall disables all workers of a zone and reports whether that changed the set.
-func (s *Set) DisableHall(name string) bool { return add(&s.zones, name) }
+// DisableZone disables all workers of a zone and reports whether that changed the set.
+func (s *Set) DisableZone(name string) bool { return add(&s.zones, name) }
 
-// EnableHall enables a zone and reports whether that changed the set. Workers disabled by ID stay disabled.
-func (s *Set) EnableHall(name string) bool { return remove(s.zones, name) }
+// EnableZone enables a zone and reports whether that changed the set. Workers disabled by ID stay disabled.
+func (s *Set) EnableZone(name string) bool { return remove(s.zones, name) }
 
 func add(to *map[string]bool, name string) bool {
 	if (*to)[name] {
@@ -55,11 +55,11 @@
 // Len returns the number of disabled workers and zones.
 func (s *Set) Len() int { return len(s.workers) + len(s.zones) }
 
-// IDs returns the IDs of the disabled workers, sorted.
-func (s *Set) IDs() []string { return sorted(s.workers) }
+// WorkerIDs returns the IDs of the disabled workers, sorted.
+func (s *Set) WorkerIDs() []string { return sorted(s.workers) }
 
-// Halls returns the names of the disabled zones, sorted.
-func (s *Set) Halls() []string { return sorted(s.zones) }
+// Zones returns the names of the disabled zones, sorted.
+func (s *Set) Zones() []string { return sorted(s.zones) }
 
 func sorted(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
 
@@ -79,15 +79,15 @@
 const fileKind = "burlpass maintenance 1"
 
 type file struct {
-	Kind  string   `json:"kind"`
-	Out   []string `json:"out"`
-	Halls []string `json:"halls,omitempty"`
+	Kind    string   `json:"kind"`
+	Workers []string `json:"out"`
+	Zones   []string `json:"halls,omitempty"`
 }
 
 // Encode returns the set in the form in which it is stored across restarts.
 func (s *Set) Encode() []byte {
-	out := append([]string{}, s.IDs()...)                                  // encoded as a list even if empty
-	b, _ := json.Marshal(file{Kind: fileKind, Out: out, Halls: s.Halls()}) // cannot fail: the fields are strings
+	out := append([]string{}, s.WorkerIDs()...)                                // encoded as a list even if empty
+	b, _ := json.Marshal(file{Kind: fileKind, Workers: out, Zones: s.Zones()}) // cannot fail: the fields are strings
 	return append(b, '\n')
 }
 
@@ -104,11 +104,11 @@
 		return Set{}, fmt.Errorf("%w: kind %.40q", ErrInvalidFile, f.Kind)
 	}
 	var s Set
-	for _, id := range f.Out {
+	for _, id := range f.Workers {
 		s.Disable(id)
 	}
-	for _, name := range f.Halls {
-		s.DisableHall(name)
+	for _, name := range f.Zones {
+		s.DisableZone(name)
 	}
 	if s.workers[""] || s.zones[""] {
 		return Set{}, fmt.Errorf("%w: an empty id", ErrInvalidFile)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -54,13 +54,13 @@
 
 func (h *fakeHandler) Ready() bool   { h.mu.Lock(); defer h.mu.Unlock(); return h.ready }
 func (h *fakeHandler) Stats() []byte { return []byte(`{"inflight":0}`) }
-func (h *fakeHandler) Order(c Command) (string, error) {
+func (h *fakeHandler) ApplyMaintenance(c Command) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case c.ID == "never":
 		return "", errors.New("no such worker has been listed")
-	case c.Verb == Disable || c.Verb == DisableHall:
+	case c.Verb == Disable || c.Verb == DisableZone:
 		h.disabled[c.ID] = true
 	default:
 		delete(h.disabled, c.ID)
--- a/internal/program/gate_bench_test.go
+++ b/internal/program/gate_bench_test.go
@@ -91,14 +91,14 @@
 		g, call := gate(b), &protocol.Call{Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: "availability", Path: "/x"}}
 		b.ReportAllocs()
 		for b.Loop() {
-			g.Enter(call).Ended(routing.End{})
+			g.Admit(call).Ended(routing.CallResult{})
 		}
 	})
 	for _, on := range []bool{false, true} {
 		b.Run(map[bool]string{false: "none", true: "rules"}[on], func(b *testing.B) {
 			o := newTestSidecar(b, nil)
 			if on {
-				o.gate, o.origins = gate(b), &protocol.Origins{Caller: "X-Qos"}
+				o.gate, o.origins = gate(b), &protocol.OriginConfig{Caller: "X-Qos"}
 			}
 			call := o.startCalls()
 			b.ReportAllocs()
--- a/internal/program/operator.go
+++ b/internal/program/operator.go
@@ -21,7 +21,7 @@
 	s        *Sidecar
 	router   *routing.Router
 	stopping *atomic.Bool // SIGTERM has arrived, so the process is no longer ready
-	stats    *protocol.Figures
+	stats    *protocol.Counters
 
 	orders *orders.Keeper // maintenance orders of the cluster; nil without a cluster
 
@@ -33,17 +33,17 @@
 
 // Stats returns the call counters as JSON.
 func (h *adminHandler) Stats() []byte {
-	var report protocol.Report
-	h.stats.Read(h.s.config.Names.Classes, &report)
-	report.Inflight = h.router.Open()
-	report.HostsListed, report.HostsDown = h.router.Hosts()
+	var report protocol.StatsReport
+	h.stats.FillStats(h.s.config.Names.Classes, &report)
+	report.Inflight = h.router.OpenCalls()
+	report.HostsListed, report.HostsDown = h.router.WorkerCounts()
 	report.ListAgeMs = h.router.ListAge().Milliseconds()
 	return report.JSON()
 }
 
-// Order applies a maintenance order to this sidecar and persists it. In a cluster, the returned text says whether the order
+// ApplyMaintenance applies a maintenance order to this sidecar and persists it. In a cluster, the returned text says whether the order
 // took effect at all members.
-func (h *adminHandler) Order(command operator.Command) (string, error) {
+func (h *adminHandler) ApplyMaintenance(command operator.Command) (string, error) {
 	if h.orders != nil {
 		return h.orderViaCluster(command)
 	}
@@ -54,10 +54,10 @@
 			return router.Disable(command.ID)
 		case operator.Enable:
 			return router.Enable(command.ID)
-		case operator.DisableHall:
-			return router.DisableHall(command.ID)
+		case operator.DisableZone:
+			return router.DisableZone(command.ID)
 		}
-		return router.EnableHall(command.ID)
+		return router.EnableZone(command.ID)
 	})
 }
 
@@ -74,7 +74,7 @@
 		return err
 	}
 	if !h.saveMaintenance() {
-		h.router.Maintain(before)
+		h.router.SetMaintenance(before)
 		return errNotSaved
 	}
 	return nil
@@ -100,7 +100,7 @@
 func (h *adminHandler) applyClusterSet(set maintenance.Set) {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
-	h.router.Maintain(set)
+	h.router.SetMaintenance(set)
 	h.saveMaintenance()
 }
 
@@ -112,7 +112,7 @@
 // Drain steers clients away: it closes idle connections and makes every response close its connection.
 func (h *adminHandler) Drain() {
 	h.s.drained.Store(true)
-	h.s.listener.CloseResting()
+	h.s.listener.CloseIdle()
 }
 
 // Undrain ends the effect of Drain.
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -62,7 +62,7 @@
 	adminListener net.Listener                   // for operators; nil if not configured
 	member        clusterMember                  // nil without a cluster
 	gate          routing.Gate                   // enforces the cluster's rules; nil without rules
-	origins       *protocol.Origins              // where calls carry the attributes that rules match
+	origins       *protocol.OriginConfig         // where calls carry the attributes that rules match
 	enforcer      *enforcement.Enforcer          // nil without rules, as are the fields below
 	limits        *limits.Limits
 	versions      *enforcement.Versions // handles API versions that end, in front of the enforcer
@@ -71,7 +71,7 @@
 
 // New opens the listeners, divides the sockets among clients and workers, and opens the cluster member, as configured.
 func New(network transport.Network, cfg *Config, logger *slog.Logger) (*Sidecar, error) {
-	clients, reserved, workers := transport.Split(cfg.Limits.Sockets, operatorSockets(cfg))
+	clients, reserved, workers := transport.SplitDescriptors(cfg.Limits.Sockets, operatorSockets(cfg))
 	listener, err := listenForClients(network, cfg, clients, reserved)
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_ACCEPT_FD: %w", err)
 	}
-	return transport.Serve(listener, clients, reserved), nil
+	return transport.NewListener(listener, clients, reserved), nil
 }
 
 // AdminAddr is the address of the admin listener, or nil if there is none.
@@ -150,10 +150,10 @@
 // Addr is the address that clients connect to.
 func (s *Sidecar) Addr() net.Addr { return s.listener.Addr() }
 
-// Open is the number of calls that have not been answered yet.
-func (s *Sidecar) Open() int {
+// OpenCalls is the number of calls that have not been answered yet.
+func (s *Sidecar) OpenCalls() int {
 	if r := s.router.Load(); r != nil {
-		return r.Open()
+		return r.OpenCalls()
 	}
 	return 0
 }
@@ -168,7 +168,7 @@
 	closeCtx, startClose := context.WithCancel(context.Background())
 	defer startClose()
 	cfg := s.config
-	stats := protocol.NewFigures(len(cfg.Names.Classes))
+	stats := protocol.NewCounters(len(cfg.Names.Classes))
 	maintenanceSet := s.loadMaintenance()
 	invariants := invariant.NewMonitor(s.log)
 	router := routing.New(runCtx, routing.Config{
@@ -179,14 +179,14 @@
 		Registry:   cfg.Registry,
 		Log:        s.log,
 		Trace:      cfg.Trace,
-		Workers:    &protocol.Workers{Pool: s.pool, Columns: cfg.Decide.Columns, Figures: stats},
+		Workers:    &protocol.Workers{Pool: s.pool, Columns: cfg.Decide.Columns, Counters: stats},
 		Out:        maintenanceSet,
 		Gate:       s.gate,
 		Invariants: invariants,
 	}, cfg.Known)
 	s.router.Store(router)
 	if maintenanceSet.Len() > 0 {
-		s.log.Info("maintenance", "out", strings.Join(maintenanceSet.IDs(), ","), "halls", strings.Join(maintenanceSet.Halls(), ","))
+		s.log.Info("maintenance", "out", strings.Join(maintenanceSet.WorkerIDs(), ","), "halls", strings.Join(maintenanceSet.Zones(), ","))
 	}
 	retryAfter := time.Duration(0)
 	if cfg.Decide.Limits.RetryAfter {
@@ -199,18 +199,18 @@
 		longestDeadline = max(longestDeadline, class.Deadline)
 	}
 	server := &protocol.Server{
-		Handler:    router,
-		Classes:    cfg.Names.Classes,
-		Worth:      classWorths,
-		Longest:    longestDeadline,
-		Advice:     retryAfter,
-		Draining:   drainCtx,
-		Closing:    closeCtx,
-		Held:       &s.drained,
-		Figures:    stats,
-		Origins:    s.origins,
-		Log:        s.log,
-		Invariants: invariants,
+		Handler:         router,
+		Classes:         cfg.Names.Classes,
+		Worth:           classWorths,
+		MaxDeadline:     longestDeadline,
+		Advice:          retryAfter,
+		Draining:        drainCtx,
+		Closing:         closeCtx,
+		OperatorDrained: &s.drained,
+		Counters:        stats,
+		OriginConfig:    s.origins,
+		Log:             s.log,
+		Invariants:      invariants,
 	}
 	acceptDone := make(chan struct{})
 	go func() {
@@ -238,7 +238,7 @@
 	startDrain()
 	s.log.Info("drain", "signal", signal.String()) // from now on every response asks the client to reconnect elsewhere
 	s.listener.EndBy(exitBy.Add(finalWritePeriod))
-	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()
+	defer time.AfterFunc(time.Until(exitBy), router.EndCalls).Stop()
 	time.Sleep(drainPeriod)
 	s.listener.Stop(exitBy)
 	select {
@@ -262,7 +262,7 @@
 	case <-finished:
 		s.log.Info("stop", "invariants_broken", invariants.Total())
 	case <-time.After(time.Until(exitBy) + 2*finalWritePeriod):
-		invariants.Broken(invariant.ExitInTime, "", "open", router.Open(), "reset", s.listener.ResetBusy())
+		invariants.ReportViolation(invariant.ExitInTime, "", "open", router.OpenCalls(), "reset", s.listener.ResetBusy())
 		s.log.Error("stop_forced", "invariants_broken", invariants.Total())
 	}
 }
--- a/internal/protocol/server.go
+++ b/internal/protocol/server.go
@@ -46,17 +46,17 @@
 
 // Server serves clients over HTTP/1.1: it reads their calls, passes them to the handler and writes the answers.
 type Server struct {
-	Handler  Handler
-	Classes  []string        // class names, indexed by class
-	Worth    []float64       // of a call, by class; decides which calls are refused when the processor is short; nil if all are alike
-	Longest  time.Duration   // the longest deadline of all classes; IDs of answered requests are remembered for at least that long
-	Advice   time.Duration   // how long a client stays away that is refused for lack of capacity or time, 0 for no advice
-	Draining context.Context // done from the moment on which clients are told to go elsewhere
-	Closing  context.Context // done when connections without a call are to be closed
-	Held     *atomic.Bool    // true while an operator has drained the sidecar: has the same effect as Draining
-	Figures  *Figures        // counts the calls' answers; may be nil
-	Origins  *Origins        // where calls carry what rules match on; nil if no rules are in use
-	Log      *slog.Logger
+	Handler         Handler
+	Classes         []string        // class names, indexed by class
+	Worth           []float64       // of a call, by class; decides which calls are refused when the processor is short; nil if all are alike
+	MaxDeadline     time.Duration   // the longest deadline of all classes; IDs of answered requests are remembered for at least that long
+	Advice          time.Duration   // how long a client stays away that is refused for lack of capacity or time, 0 for no advice
+	Draining        context.Context // done from the moment on which clients are told to go elsewhere
+	Closing         context.Context // done when connections without a call are to be closed
+	OperatorDrained *atomic.Bool    // true while an operator has drained the sidecar: has the same effect as Draining
+	Counters        *Counters       // counts the calls' answers; may be nil
+	OriginConfig    *OriginConfig   // where calls carry what rules match on; nil if no rules are in use
+	Log             *slog.Logger
 
 	Invariants *invariant.Monitor // counts violations of invariants; may be nil
 
@@ -99,7 +99,7 @@
 	c := &client{Server: s, Client: conn, source: clientSource{conn: conn}}
 	c.smallReader = bufio.NewReaderSize(&c.source, maxHeadBytes)
 	c.r = c.smallReader
-	stop := context.AfterFunc(s.Closing, conn.EndRest)
+	stop := context.AfterFunc(s.Closing, conn.EndIdleWaits)
 	defer stop()
 	c.serveCalls()
 	c.closeGracefully()
@@ -113,7 +113,7 @@
 			return
 		}
 		call, err := c.readCall()
-		if !c.Enter(transport.Busy) {
+		if !c.Enter(transport.PhaseBusy) {
 			return
 		}
 		switch {
@@ -122,7 +122,7 @@
 			c.reject(err)
 		case call == nil:
 			c.answerHealthCheck()
-		case c.Crowded:
+		case c.OverLimit:
 			c.closing = true
 			c.refuse(call)
 		case server.overload.refusing.Load() && !c.newDisconnectWatcher().isConnected(): // the client no longer waits for the answer
@@ -130,11 +130,11 @@
 		case server.overload.shouldRefuse(call.Class, server.Worth) || call.Budget <= 0 && c.wasDelayed():
 			server.logOverload()
 			c.refuse(call)
-		case !server.requestIDs.tryAdd(c.head.get(headerTrace), c.started, server.Longest):
+		case !server.requestIDs.tryAdd(c.head.get(headerTrace), c.started, server.MaxDeadline):
 			c.reject(&httpError{409, "the id of another call"})
 		default:
 			c.handle(call)
-			server.requestIDs.finish(c.head.get(headerTrace), time.Now(), server.Longest)
+			server.requestIDs.finish(c.head.get(headerTrace), time.Now(), server.MaxDeadline)
 		}
 		if cap(c.body) > maxHeadBytes {
 			c.body = nil // large bodies are rare; an idle connection keeps no memory for them
@@ -146,20 +146,20 @@
 func (c *client) awaitCall() bool {
 	c.shrinkBuffer()
 	now := time.Now()
-	phase, until, limit := transport.Resting, now.Add(idleTimeout), headTimeout
+	phase, until, limit := transport.PhaseIdle, now.Add(idleTimeout), headTimeout
 	if !c.hadCall { // a client that connects and sends nothing, or an incomplete request, is owed an end within 3 s in total
-		phase, until = transport.Silent, transport.Latest(c.Begun().Add(firstByteTimeout), now.Add(minFirstByteTimeout))
-		limit = max(headTimeout-now.Sub(c.Begun()), minHeadTimeout)
+		phase, until = transport.PhaseNew, transport.Latest(c.ConnectedAt().Add(firstByteTimeout), now.Add(minFirstByteTimeout))
+		limit = max(headTimeout-now.Sub(c.ConnectedAt()), minHeadTimeout)
 		c.hadCall = true
 	}
-	c.Receive(transport.Stage{Until: until, AtRest: true})
+	c.SetReadBounds(transport.ReadBounds{Until: until, NoRequest: true})
 	if c.Closing.Err() != nil { // a request that has arrived is still answered
-		c.EndRest()
+		c.EndIdleWaits()
 	}
 	if !c.Enter(phase) {
 		return false
 	}
-	if _, err := c.r.Peek(1); err != nil || !c.Enter(transport.Reading) {
+	if _, err := c.r.Peek(1); err != nil || !c.Enter(transport.PhaseReading) {
 		return false
 	}
 	c.started = time.Now()
@@ -170,7 +170,7 @@
 // limitRead sets the time limits for part of a request: its bytes may take up to limit in total, and pause for no longer
 // than stallTimeout.
 func (c *client) limitRead(limit time.Duration) {
-	c.Receive(transport.Stage{Stall: stallTimeout, Until: time.Now().Add(limit)})
+	c.SetReadBounds(transport.ReadBounds{StallTimeout: stallTimeout, Until: time.Now().Add(limit)})
 }
 
 // readCall reads one complete call. It returns nil for a health check.
@@ -275,8 +275,8 @@
 	remaining := c.remainingTime(expires)
 	call := &Call{ID: c.head.get(headerTrace), Class: class, Budget: remaining, Repeat: string(c.head.get(headerRetry)) == "1",
 		Message: &request{head: &c.head, body: c.body, upload: c.upload}}
-	if c.Origins != nil {
-		call.Origin = c.Origins.extract(&c.head, path)
+	if c.OriginConfig != nil {
+		call.Origin = c.OriginConfig.extract(&c.head, path)
 	}
 	if u := c.upload; u != nil {
 		u.expires = remaining
@@ -318,12 +318,12 @@
 
 // refuse answers a call without passing it to the handler. No part of it has been sent to a worker.
 func (c *client) refuse(call *Call) {
-	c.Figures.answered(call.Class, Refused)
+	c.Counters.answered(call.Class, Refused)
 	if c.upload != nil {
 		c.closing = true
 	}
 	c.answer(Answer{Verdict: Refused, Wait: c.Advice})
-	if c.upload != nil && c.Enter(transport.Lingering) {
+	if c.upload != nil && c.Enter(transport.PhaseLingering) {
 		c.discardRequest()
 	}
 }
@@ -333,14 +333,14 @@
 	c.overload.begin(c.Closing)
 	defer c.overload.end()
 	watcher := c.newDisconnectWatcher()
-	call.Left, call.Present = watcher.disconnected, watcher.isConnected
+	call.ClientLeft, call.IsConnected = watcher.disconnected, watcher.isConnected
 	if c.upload == nil {
-		c.Hold()
+		c.ClearReadBounds()
 	}
 	go watcher.watch()
 	answer := c.Handler.Serve(call)
 	c.checkAnswered(watcher)
-	c.Figures.answered(call.Class, answer.Verdict) // before it is written: a client that has the answer finds it counted
+	c.Counters.answered(call.Class, answer.Verdict) // before it is written: a client that has the answer finds it counted
 	if c.upload != nil {
 		c.answerUpload(watcher, answer)
 		return
@@ -369,7 +369,7 @@
 	watcher.end()
 	c.broken = c.broken || watcher.hasDisconnected() && !rejected
 	c.closing = c.closing || c.broken
-	if err != nil && !rejected && c.Enter(transport.Lingering) {
+	if err != nil && !rejected && c.Enter(transport.PhaseLingering) {
 		c.discardRequest()
 	}
 }
--- a/internal/protocol/upload.go
+++ b/internal/protocol/upload.go
@@ -52,30 +52,30 @@
 		complete: make(chan struct{}), failed: make(chan struct{}), readerDone: make(chan struct{})}
 }
 
-// Whole is closed when the client's last byte has arrived.
-func (u *upload) Whole() <-chan struct{} { return u.complete }
+// Complete is closed when the client's last byte has arrived.
+func (u *upload) Complete() <-chan struct{} { return u.complete }
 
-// End returns when the client gives up if all that is missing has arrived without having been read. A worker that accepts a
+// Deadline returns when the client gives up if all that is missing has arrived without having been read. A worker that accepts a
 // message slowly must not hide the end of the message from the sidecar.
-func (u *upload) End() time.Time {
+func (u *upload) Deadline() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.incompleteAt.Add(u.expires)
 }
 
-// Begun reports whether part of the message has been read.
-func (u *upload) Begun() bool {
+// ReadStarted reports whether part of the message has been read.
+func (u *upload) ReadStarted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.started
 }
 
 // stream forwards the message piece by piece as the client sends it.
-func (u *upload) stream(write transport.Write) error {
+func (u *upload) stream(write transport.WriteFunc) error {
 	u.mu.Lock()
 	if u.started || u.stopped {
 		u.mu.Unlock()
-		return fmt.Errorf("%w: the body has already been read", transport.ErrSource)
+		return fmt.Errorf("%w: the body has already been read", transport.ErrIncompleteMessage)
 	}
 	u.started = true
 	u.mu.Unlock()
@@ -90,7 +90,7 @@
 		if err != nil {
 			u.err = err
 			close(u.failed)
-			return fmt.Errorf("%w: %w", transport.ErrSource, err)
+			return fmt.Errorf("%w: %w", transport.ErrIncompleteMessage, err)
 		}
 		if n == 0 {
 			continue
@@ -120,7 +120,7 @@
 	if u.body.r.Buffered() == 0 && u.conn.Quiet() {
 		u.incompleteAt = begun
 	}
-	u.conn.Receive(transport.Stage{Stall: stallTimeout, Until: begun.Add(bodyTimeout(u.received+int64(len(buf))) - u.waited), Taken: true})
+	u.conn.SetReadBounds(transport.ReadBounds{StallTimeout: stallTimeout, Until: begun.Add(bodyTimeout(u.received+int64(len(buf))) - u.waited), RequestAccepted: true})
 	u.mu.Unlock()
 	n, err := u.body.Read(buf)
 	u.received += int64(n)
@@ -145,7 +145,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.stopped {
-		u.conn.Hold()
+		u.conn.ClearReadBounds()
 	}
 	return !u.stopped, nil
 }
@@ -171,7 +171,7 @@
 	u.mu.Lock()
 	u.stopped = true
 	started := u.started
-	u.conn.Wake()
+	u.conn.InterruptRead()
 	u.mu.Unlock()
 	if started {
 		<-u.readerDone
--- a/internal/routing/first_byte_test.go
+++ b/internal/routing/first_byte_test.go
@@ -58,7 +58,7 @@
 	}
 	class.Aim, class.Deadline, class.Worth = cmp.Or(class.Aim, time.Minute), time.Minute, 1
 	c := Config{Decide: decide.Config{Subscribe: true, Classes: []decide.Class{class},
-		Safety: decide.Safety{FallMultiple: 3, TipAfter: time.Second, StartShare: 0.5},
+		Safety: decide.Safety{FallMultiple: 3, OverloadWindow: time.Second, StartShare: 0.5},
 		Limits: decide.Limits{MaxAttempts: 4}},
 		Network: s.gatedNetwork, Registry: "127.0.0.1:1", Log: logging.Discard(), Names: Names{Zones: []string{"hall"}},
 		Workers: &protocol.Workers{Pool: transport.NewPool(s.gatedNetwork, transport.NewBudget(9), time.Minute, time.Minute)}}
@@ -71,7 +71,7 @@
 
 // instance returns the registry entry of a worker.
 func (s *testSidecar) instance(i int) protocol.Instance {
-	return protocol.Instance{ID: strconv.Itoa(i), Addr: s.addrs[i], Zone: "hall", Lifecycle: protocol.Up}
+	return protocol.Instance{ID: strconv.Itoa(i), Addr: s.addrs[i], Zone: "hall", Lifecycle: protocol.LifecycleUp}
 }
 
 // list returns a full list.
@@ -91,7 +91,7 @@
 // serve starts a call whose answer arrives on answers.
 func (s *testSidecar) serve() {
 	go func() {
-		s.answers <- s.Serve(&protocol.Call{Budget: 30 * time.Second, Message: timedMessage{}, Left: s.left})
+		s.answers <- s.Serve(&protocol.Call{Budget: 30 * time.Second, Message: timedMessage{}, ClientLeft: s.left})
 	}()
 }
 
@@ -140,7 +140,7 @@
 		},
 		"removed": func(s *testSidecar) {
 			first := s.instance(0)
-			first.Lifecycle = protocol.Removed
+			first.Lifecycle = protocol.LifecycleRemoved
 			s.applyList(s.registrySource, &protocol.List{Generation: 10, Instances: []protocol.Instance{first, s.instance(1)}}, decide.ListDelta)
 		},
 		"missing from a full list": func(s *testSidecar) {
@@ -170,7 +170,7 @@
 			both(s)
 			var out maintenance.Set
 			out.Disable("0")
-			s.Maintain(out)
+			s.SetMaintenance(out)
 		},
 	} {
 		for when, retry := range map[string]bool{"first attempt": false, "further attempt": true} {
@@ -233,7 +233,7 @@
 	io.WriteString(kept, okAnswer)
 	s.expectServed(t)
 
-	active := &activeCall{call: &protocol.Call{Budget: time.Minute, Message: timedMessage{}, Left: ctx.Done()}}
+	active := &activeCall{call: &protocol.Call{Budget: time.Minute, Message: timedMessage{}, ClientLeft: ctx.Done()}}
 	s.addCall(active) // the balancer has chosen the worker
 	restarted := s.instance(0)
 	restarted.StartedMs = time.Now().UnixMilli()
--- a/internal/routing/guard.go
+++ b/internal/routing/guard.go
@@ -54,7 +54,7 @@
 	if active.call.Class >= len(r.Decide.Classes) || first.mayRepeat(&r.Decide.Classes[active.call.Class], cmd, time.Now()) {
 		return true
 	}
-	r.Invariants.Broken(invariant.RepeatAllowed, string(active.call.ID),
+	r.Invariants.ReportViolation(invariant.RepeatAllowed, string(active.call.ID),
 		"attempt", active.attempts, "first", time.Since(first.startedAt))
 	return false
 }
@@ -66,24 +66,24 @@
 	return (streaming || time.Now().Before(a.initialDeadline)) && a.router.mayStart(a.command) && a.activeCall.clientPresent()
 }
 
-// Began checks the rules again for an attempt whose first byte was sent this long after Ready, and counts violations.
-func (a *attempt) Began(delay time.Duration) {
+// StartedLate checks the rules again for an attempt whose first byte was sent this long after Ready, and counts violations.
+func (a *attempt) StartedLate(delay time.Duration) {
 	r, active := a.router, a.activeCall
 	attributes := []any{"attempt", a.number, "after", delay}
 	if !active.clientPresent() {
-		r.Invariants.Broken(invariant.ClientPresent, string(active.call.ID), attributes...)
+		r.Invariants.ReportViolation(invariant.ClientPresent, string(active.call.ID), attributes...)
 	}
 	if !r.mayStart(a.command) && delay > r.Decide.Safety.DrainGrace {
-		r.Invariants.Broken(invariant.BackendListed, string(active.call.ID), attributes...)
+		r.Invariants.ReportViolation(invariant.BackendListed, string(active.call.ID), attributes...)
 	}
 	if active.call.Upload != nil {
 		return
 	}
 	if late := time.Since(a.initialDeadline); late > r.Decide.Safety.AnswerSlack {
-		r.Invariants.Broken(invariant.WithinDeadline, string(active.call.ID), append(attributes, "late", late)...)
+		r.Invariants.ReportViolation(invariant.WithinDeadline, string(active.call.ID), append(attributes, "late", late)...)
 	}
 	if delay > deadlineToldSlack {
-		r.Invariants.Broken(invariant.DeadlineTold, string(active.call.ID), attributes...)
+		r.Invariants.ReportViolation(invariant.DeadlineTold, string(active.call.ID), attributes...)
 	}
 }
 
@@ -96,7 +96,7 @@
 // Ready reports whether the worker is listed up with the same address and start time.
 func (g probeGuard) Ready() bool { return g.router.isCurrent(g.worker) }
 
-// Began does nothing: a probe has no client, and a late one does no harm.
-func (probeGuard) Began(time.Duration) {}
+// StartedLate does nothing: a probe has no client, and a late one does no harm.
+func (probeGuard) StartedLate(time.Duration) {}
 
 var _ transport.Guard = (*attempt)(nil)
--- a/internal/routing/registry.go
+++ b/internal/routing/registry.go
@@ -36,7 +36,7 @@
 	r.unsubscribe()
 	r.registrySource = registrySource{addr, r.epoch + 1}
 	r.listFromOldRegistry = true
-	actions := r.handle(decide.Event{Kind: decide.Members, List: decide.ListMoved})
+	actions := r.handle(decide.Event{Kind: decide.Members, List: decide.ListSourceChanged})
 	r.mu.Unlock()
 	r.execute(actions)
 }
@@ -84,8 +84,8 @@
 // returns that error, or nil if this sidecar ended the watch.
 func (r *Router) runWatch(sub *subscription) error {
 	defer sub.cancel()
-	timeouts := newRegistryTimeouts(r.Decide.Safety.ToldWithin())
-	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr}
+	timeouts := newRegistryTimeouts(r.Decide.Safety.PropagationLimit())
+	registry := &protocol.RegistryClient{Network: r.Network, Addr: sub.addr}
 	defer registry.Close()
 	for {
 		next := time.After(minWatchInterval)
@@ -93,16 +93,16 @@
 		var err error
 		kind := decide.ListDelta
 		if sub.fullListFirst {
-			registry.Grace = timeouts.fetchTimeout
+			registry.ResponseTimeout = timeouts.fetchTimeout
 			list, err = registry.Fetch(sub.ctx)
 			sub.fullListFirst, kind = false, decide.ListFull
 		} else {
 			r.mu.Lock()
 			since := r.generation
 			r.mu.Unlock()
-			registry.Wait, registry.Grace = timeouts.watchWait(rand.Float64()), timeouts.watchGrace
+			registry.WatchTimeout, registry.ResponseTimeout = timeouts.watchWait(rand.Float64()), timeouts.watchGrace
 			if sub.catchUp {
-				registry.Wait, registry.Grace = timeouts.catchUp, timeouts.fetchTimeout
+				registry.WatchTimeout, registry.ResponseTimeout = timeouts.catchUp, timeouts.fetchTimeout
 			}
 			list, err = registry.Watch(sub.ctx, since)
 		}
@@ -129,8 +129,8 @@
 	r.mu.Lock()
 	sub := &subscription{registrySource: r.registrySource}
 	r.mu.Unlock()
-	registry := &protocol.Registry{Network: r.Network, Addr: sub.addr,
-		Grace: newRegistryTimeouts(r.Decide.Safety.ToldWithin()).fetchTimeout}
+	registry := &protocol.RegistryClient{Network: r.Network, Addr: sub.addr,
+		ResponseTimeout: newRegistryTimeouts(r.Decide.Safety.PropagationLimit()).fetchTimeout}
 	defer registry.Close()
 	list, err := registry.Fetch(r.ctx)
 	if err != nil {
@@ -236,7 +236,7 @@
 	}
 	state := decide.Gone
 	switch instance.Lifecycle {
-	case protocol.Up:
+	case protocol.LifecycleUp:
 		state = decide.Ready
 	case protocol.LifecycleDraining:
 		state = decide.Draining
@@ -253,10 +253,10 @@
 		startedMs: instance.StartedMs,
 		listed:    listed}
 	if previous := r.workers[id]; previous != nil && previous.peer.Addr == instance.Addr && previous.startedMs == instance.StartedMs {
-		w.peer.Life = previous.peer.Life
+		w.peer.Incarnation = previous.peer.Incarnation
 	} else {
 		r.lastLife++
-		w.peer.Life = r.lastLife
+		w.peer.Incarnation = r.lastLife
 	}
 	effective := listed
 	effective.State = state
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -94,7 +94,7 @@
 		calls: map[uint64]*activeCall{}, workerIDs: map[string]decide.ServerID{}, workers: map[decide.ServerID]*worker{},
 		seenWorkers: map[string]bool{}, unknownZones: map[string]int{}, startTimes: map[string]processStart{},
 	}
-	for _, id := range c.Out.IDs() {
+	for _, id := range c.Out.WorkerIDs() {
 		r.seenWorkers[id] = true
 	}
 	r.lastAnswer = r.clockOrigin
@@ -112,12 +112,12 @@
 	return r.upWorkers > 0
 }
 
-// End ends all open calls because the process is about to exit: each call gets its final answer at once, however much
+// EndCalls ends all open calls because the process is about to exit: each call gets its final answer at once, however much
 // time its client has left, and its attempts are aborted.
-func (r *Router) End() { r.endOnce.Do(func() { close(r.endCalls) }) }
+func (r *Router) EndCalls() { r.endOnce.Do(func() { close(r.endCalls) }) }
 
-// Open returns the number of calls that have no answer yet.
-func (r *Router) Open() int {
+// OpenCalls returns the number of calls that have no answer yet.
+func (r *Router) OpenCalls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.calls)
@@ -168,7 +168,7 @@
 func (r *Router) execute(actions []decide.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case decide.Wake:
+		case decide.SetTimer:
 			time.AfterFunc(a.Wait, func() { r.dispatch(decide.Event{Kind: decide.Timer, Token: a.Token}) })
 		case decide.Probe:
 			go r.probe(a.Server)
@@ -212,7 +212,7 @@
 func (r *Router) mayStart(cmd command) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.isCurrentLocked(cmd.Server, cmd.peer) && (cmd.Before == 0 || r.now() < cmd.Before)
+	return r.isCurrentLocked(cmd.Server, cmd.peer) && (cmd.SendBefore == 0 || r.now() < cmd.SendBefore)
 }
 
 // isCurrent reports whether a worker is listed up with the address and start time that it had when it was chosen.
@@ -234,17 +234,17 @@
 
 // probe asks a worker for its load report and dispatches exactly one result to the balancer.
 func (r *Router) probe(id decide.ServerID) {
-	event := decide.Event{Kind: decide.Probed, Server: id, Status: decide.ConnectFailed}
+	event := decide.Event{Kind: decide.ProbeResult, Server: id, Status: decide.ConnectFailed}
 	startedAt := time.Now()
 	if w := r.findWorker(id); w != nil {
-		a := r.Workers.Start(w.peer, protocol.Probe(), startedAt.Add(probeTimeout), probeGuard{r, w}, protocol.Return{})
+		a := r.Workers.Start(w.peer, protocol.Probe(), startedAt.Add(probeTimeout), probeGuard{r, w}, protocol.ResultTarget{})
 		timer := time.AfterFunc(probeTimeout, a.Abort)
 		result := <-a.Done
 		onTime := timer.Stop()
 		switch {
 		case result.Err == nil && a.Reply.Kind == protocol.ReplyServed:
 			event.Status, event.Load = decide.OK, a.Reply.Load
-		case result.Err == nil && a.Reply.Kind == protocol.ReplyFull:
+		case result.Err == nil && a.Reply.Kind == protocol.ReplyNeverRan:
 			event.Status = decide.Full
 		case result.Err == nil:
 			event.Status = decide.Errored
--- a/internal/sim/mutant.go
+++ b/internal/sim/mutant.go
@@ -81,7 +81,7 @@
 		one("cell-forgotten", "a keyed repeat leaves its cell", "decide/rules.go",
 			"|| s.Cell == first.listed.Cell", "|| s.Zone == first.listed.Zone"),
 		{"retry-past-window", "what has been passed on in part goes out again, from its beginning", []Edit{
-			{"internal/routing/call.go", "case final == nil && call.Upload != nil && call.Upload.Begun():", "case false:"},
+			{"internal/routing/call.go", "case final == nil && call.Upload != nil && call.Upload.ReadStarted():", "case false:"},
 			{"internal/protocol/upload.go", "if u.started || u.stopped {", "if u.stopped {"},
 			{"internal/protocol/upload.go", "defer close(u.readerDone)", "defer func() { defer func() { recover() }(); close(u.readerDone) }()"}}},
 		one("long-answer-cut", "an answer is passed on up to what has come with its head, and no further", "internal/protocol/answer.go",
@@ -104,7 +104,7 @@
 			{"internal/program/run.go", "		<-acceptDone\n		s.listener.Wait()\n", "		<-acceptDone\n		time.Sleep(2 * time.Second)\n"}}},
 		{"late-calls-taken", "after a SIGTERM's time connections stay open and calls on them are taken, up to SIGKILL", []Edit{
 			{"internal/program/run.go", "	startClose()\n	finished :=", "	finished :="},
-			{"internal/program/run.go", "	s.listener.EndBy(exitBy.Add(finalWritePeriod))\n	defer time.AfterFunc(time.Until(exitBy), router.End).Stop()\n", ""}}},
+			{"internal/program/run.go", "	s.listener.EndBy(exitBy.Add(finalWritePeriod))\n	defer time.AfterFunc(time.Until(exitBy), router.EndCalls).Stop()\n", ""}}},
 		one("slots-leak", "a client's slot is never given back", "internal/transport/listen.go",
 			"	<-l.slots\n", ""),
 	}
