--- a/internal/cluster/voter/link/link.go
+++ b/internal/cluster/voter/link/link.go
@@ -135,7 +135,7 @@
 		return net.ErrClosed
 	}
 	if l.silent {
-		return errors.New("connections are disabled at present")
+		return errors.New("silent")
 	}
 	if incomingCount && l.incomingCount >= maxIncoming {
 		return errors.New("too many connections")
