--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -1,5 +1,6 @@
-// Package reconciler moves timelines of versions at the leader: it proposes the steps whose conditions hold by the record, and folds what ended
-// processes have counted. Every voter checks them again. docs/retire.md has the design.
+// Package reconciler advances the timelines of API versions at the leader. It proposes the steps whose conditions hold
+// according to the record, and folds the usage counts of processes that have ended. Every voter validates each proposal
+// again. docs/retire.md describes the design. A call is a client's request.
 package reconciler
 
 import (
@@ -14,43 +15,45 @@
 	"burlpass/internal/retire"
 )
 
-// Member is the voter that leads.
+// Member is the leading voter.
 type Member interface {
 	Write(ctx context.Context, w *record.Write) (record.Result, error)
-	Replica() *replica.Replica // nil while there is no state to show
+	Replica() *replica.Replica // nil until there is a state to read
 }
 
-// Pause is the time between two looks.
+// Pause is the default time between two passes.
 const Pause = time.Second
 
 const (
-	writeTime = 2 * time.Second  // for one write
-	sayAgain  = 10 * time.Minute // of a timeline that holds for the same reason
+	writeTimeout    = 2 * time.Second  // limit for one write
+	holdLogInterval = 10 * time.Minute // between log lines about a timeline that is held for an unchanged reason
 )
 
-// Reconciler looks each second. It is for one goroutine.
+// Reconciler advances timelines. It must be used by one goroutine at a time.
 type Reconciler struct {
-	reader retire.Reader
-	log    *slog.Logger
-	said   map[string]said // by timeline
-	fault  string
+	reader      retire.Reader
+	log         *slog.Logger
+	loggedHolds map[string]loggedHold // by timeline key
+	lastError   string
 }
 
-// said is why a timeline held, as it was logged last.
-type said struct {
-	why  string
-	when time.Time
+// loggedHold is the reason last logged for a held timeline.
+type loggedHold struct {
+	reason   string
+	loggedAt time.Time
 }
 
 // New returns a Reconciler.
-func New(log *slog.Logger) *Reconciler { return &Reconciler{log: log, said: map[string]said{}} }
+func New(log *slog.Logger) *Reconciler {
+	return &Reconciler{log: log, loggedHolds: map[string]loggedHold{}}
+}
 
-// Run looks again after each pause until ctx is done, which is as soon as the member leads no more.
-func (s *Reconciler) Run(ctx context.Context, m Member, pause time.Duration) {
+// Run calls Reconcile, pausing in between, until ctx is done. The caller cancels ctx when the member loses leadership.
+func (r *Reconciler) Run(ctx context.Context, member Member, pause time.Duration) {
 	tick := time.NewTicker(pause)
 	defer tick.Stop()
 	for ctx.Err() == nil {
-		s.Look(ctx, m)
+		r.Reconcile(ctx, member)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -58,80 +61,81 @@
 	}
 }
 
-// Look writes what is due now.
-func (s *Reconciler) Look(ctx context.Context, m Member) {
-	r := m.Replica()
-	if r == nil {
+// Reconcile writes the steps and folds that are due, and logs the timelines that are held.
+func (r *Reconciler) Reconcile(ctx context.Context, member Member) {
+	local := member.Replica()
+	if local == nil {
 		return
 	}
-	dues, err := s.reader.Due(r.View())
+	due, err := r.reader.Due(local.View())
 	if err != nil {
-		if err.Error() != s.fault {
-			s.fault = err.Error()
-			s.log.Error("stage_refused", "err", err)
+		if err.Error() != r.lastError {
+			r.lastError = err.Error()
+			r.log.Error("stage_refused", "err", err)
 		}
 		return
 	}
-	s.fault = ""
-	there := map[string]bool{}
-	for _, h := range dues.Holds {
-		there[h.Timeline] = true
-		s.holds(h)
+	r.lastError = ""
+	present := map[string]bool{}
+	for _, hold := range due.Holds {
+		present[hold.Timeline] = true
+		r.logHold(hold)
 	}
-	for _, step := range dues.Steps {
-		there[step.Timeline] = true
-		s.step(ctx, m, step)
+	for _, step := range due.Steps {
+		present[step.Timeline] = true
+		r.writeStep(ctx, member, step)
 	}
-	for _, w := range dues.Folds {
-		if r, ok := s.write(ctx, m, w); ok && r.Outcome == record.Invalid {
-			s.log.Warn("use_fold_refused", "item", w.Changes[0].Key, "reason", r.Reason)
+	for _, fold := range due.Folds {
+		if result, ok := r.write(ctx, member, fold); ok && result.Outcome == record.Invalid {
+			r.log.Warn("use_fold_refused", "item", fold.Changes[0].Key, "reason", result.Reason)
 		}
 	}
-	for timeline := range s.said {
-		if !there[timeline] {
-			delete(s.said, timeline)
+	for timeline := range r.loggedHolds {
+		if !present[timeline] {
+			delete(r.loggedHolds, timeline)
 		}
 	}
 }
 
-func (s *Reconciler) step(ctx context.Context, m Member, step retire.Stepped) {
-	r, ok := s.write(ctx, m, step.Write)
+func (r *Reconciler) writeStep(ctx context.Context, member Member, step retire.Stepped) {
+	result, ok := r.write(ctx, member, step.Write)
 	switch {
-	case !ok: // the next look is another try
-	case r.Outcome == record.Applied && step.Why != "":
-		s.log.Warn("stage_held", "timeline", step.Timeline, "stage", step.From, "why", step.Why)
-	case r.Outcome == record.Applied:
-		s.log.Info("stage", "timeline", step.Timeline, "from", step.From, "to", step.To, "version", r.Version)
-		delete(s.said, step.Timeline)
-	case r.Outcome == record.Invalid: // counts or the time have come in between, or the members disagree
-		s.log.Warn("stage_refused", "timeline", step.Timeline, "from", step.From, "to", step.To, "reason", r.Reason)
+	case !ok: // the next pass retries
+	case result.Outcome == record.Applied && step.Why != "":
+		r.log.Warn("stage_held", "timeline", step.Timeline, "stage", step.From, "why", step.Why)
+	case result.Outcome == record.Applied:
+		r.log.Info("stage", "timeline", step.Timeline, "from", step.From, "to", step.To, "version", result.Version)
+		delete(r.loggedHolds, step.Timeline)
+	case result.Outcome == record.Invalid: // counts or the time changed meanwhile, or members disagree
+		r.log.Warn("stage_refused", "timeline", step.Timeline, "from", step.From, "to", step.To, "reason", result.Reason)
 	}
 }
 
-// write has a write agreed on; false where it is not known to be.
-func (s *Reconciler) write(ctx context.Context, m Member, w *record.Write) (record.Result, bool) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+// write proposes a write. It returns false if the outcome is unknown.
+func (r *Reconciler) write(ctx context.Context, member Member, write *record.Write) (record.Result, bool) {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	w.ID = rand.Text()
-	r, err := m.Write(ctx, w)
-	return r, err == nil
+	write.ID = rand.Text()
+	result, err := member.Write(ctx, write)
+	return result, err == nil
 }
 
-// holds logs why a timeline holds whose time has come: when that changes, and now and then.
-func (s *Reconciler) holds(h retire.Holding) {
-	if h.Waits {
-		delete(s.said, h.Timeline)
+// logHold logs why a timeline does not advance although its next step is due. It logs when the reason changes, and again
+// every holdLogInterval.
+func (r *Reconciler) logHold(hold retire.Holding) {
+	if hold.Waits {
+		delete(r.loggedHolds, hold.Timeline)
 		return
 	}
-	why := strings.Map(func(r rune) rune { // counts and times change all the time
-		if '0' <= r && r <= '9' {
+	reason := strings.Map(func(char rune) rune { // drop digits: counts and times change constantly
+		if '0' <= char && char <= '9' {
 			return -1
 		}
-		return r
-	}, h.Stage+" "+h.Why)
-	if was := s.said[h.Timeline]; was.why == why && time.Since(was.when) < sayAgain {
+		return char
+	}, hold.Stage+" "+hold.Why)
+	if last := r.loggedHolds[hold.Timeline]; last.reason == reason && time.Since(last.loggedAt) < holdLogInterval {
 		return
 	}
-	s.said[h.Timeline] = said{why, time.Now()}
-	s.log.Info("stage_held", "timeline", h.Timeline, "stage", h.Stage, "why", h.Why)
+	r.loggedHolds[hold.Timeline] = loggedHold{reason, time.Now()}
+	r.log.Info("stage_held", "timeline", hold.Timeline, "stage", hold.Stage, "why", hold.Why)
 }
