--- a/internal/enforcement/enforcement.go
+++ b/internal/enforcement/enforcement.go
@@ -1,5 +1,6 @@
-// Package enforcement has the rules of many teams take effect on the calls of one process: it follows the member's record, keeps a
-// compiled table beside the calls, gives the fleet's limits to those who lease them, and is the router's gate. docs/rules.md has the design.
+// Package enforcement applies the teams' rules to the calls of one process; a call is a client's request. It follows the
+// replicated record, compiles the rules into a table off the request path, passes the fleet-wide limits to the lease
+// client, and admits or refuses calls as the router's gate. docs/rules.md describes the design.
 package enforcement
 
 import (
@@ -19,156 +20,156 @@
 	"burlpass/internal/rules"
 )
 
-// Member is whose record is followed.
+// Member provides the replica of the record to follow.
 type Member interface {
-	Replica() *replica.Replica // nil while there is no state to show
+	Replica() *replica.Replica // nil until there is a state to read
 }
 
-// Limits are the fleet's limits at this process; *limits.Limits are.
+// Limits enforces this process's share of the fleet-wide limits. *limits.Limits implements it.
 type Limits interface {
 	Set(limits []lease.Limit)
 	Take(ids []string, budget time.Duration) (limits.Ticket, time.Duration, bool)
 	Done(limits.Ticket)
 }
 
-// Class is a class of calls, in the order of the settings.
+// Class describes a class of calls. Classes are indexed in the order of the settings.
 type Class struct {
 	Name   string
-	Window time.Duration // in which a key's repeat is the same call; 0: there are no such repeats
+	Window time.Duration // how long a repeated key counts as the same call; 0 disables this
 }
 
-// Config is what an Enforcer is made of.
+// Config holds the dependencies and settings of an Enforcer.
 type Config struct {
 	Member       Member
 	Limits       Limits
-	Island, Hall string // where this process is, as rules name it
+	Island, Hall string // location of this process, as named in rules
 	Classes      []Class
-	Now          func() time.Time // nil: time.Now
+	Now          func() time.Time // defaults to time.Now
 	Log          *slog.Logger
 }
 
-// Enforcer is a routing.Gate. Until it has a table it lets all calls pass.
+// Enforcer is a routing.Gate that applies rules. It admits every call until it has a rule table.
 type Enforcer struct {
 	Config
-	table atomic.Pointer[rules.Table]
-	seed  maphash.Seed
-	keys  []keyring // by class
+	table        atomic.Pointer[rules.Table]
+	seed         maphash.Seed
+	admittedKeys []lockedKeySet // indexed by class
 
-	dec     rules.Decoder // of Run, as the following
-	state   *rules.State  // that the table was made of
-	fault   string        // why the last state was not taken
-	unknown bool          // the state has no rules, and that was logged
+	decoder       rules.Decoder // this and the fields below belong to Run's goroutine
+	state         *rules.State  // state that the table was compiled from
+	lastError     string        // last logged decoding error, cleared on success
+	noRulesLogged bool          // whether the absence of rules has been logged
 
-	refusals
+	refusalCounters
 }
 
-// keyring is a class's keys under their lock.
-type keyring struct {
+// lockedKeySet guards a keySet with a mutex.
+type lockedKeySet struct {
 	mu sync.Mutex
-	keys
+	keySet
 }
 
-// New returns an Enforcer without a table.
-func New(c Config) *Enforcer {
-	if c.Now == nil {
-		c.Now = time.Now
+// New returns an Enforcer that has no table yet.
+func New(config Config) *Enforcer {
+	if config.Now == nil {
+		config.Now = time.Now
 	}
-	g := &Enforcer{Config: c, seed: maphash.MakeSeed(), keys: make([]keyring, len(c.Classes))}
-	g.refusals.of = map[string]*count{}
-	for i, k := range c.Classes {
-		g.keys[i].window = k.Window
+	e := &Enforcer{Config: config, seed: maphash.MakeSeed(), admittedKeys: make([]lockedKeySet, len(config.Classes))}
+	e.refusalCounters.byRule = map[string]*refusalCounter{}
+	for i, class := range config.Classes {
+		e.admittedKeys[i].window = class.Window
 	}
-	return g
+	return e
 }
 
-// Enter is the router's question about a call.
-func (g *Enforcer) Enter(call *protocol.Call) routing.Terms {
-	t := g.table.Load()
-	if t == nil || call.Origin == nil || call.Class >= len(g.Classes) {
+// Enter admits or refuses a call and returns its terms. It implements routing.Gate.
+func (e *Enforcer) Enter(call *protocol.Call) routing.Terms {
+	table := e.table.Load()
+	if table == nil || call.Origin == nil || call.Class >= len(e.Classes) {
 		return routing.Terms{}
 	}
-	q := rules.Call{Island: g.Island, Hall: g.Hall, Class: g.Classes[call.Class].Name, Path: call.Origin.Path, Caller: call.Origin.Caller}
-	v := t.Lookup(&q, call.Budget)
-	out := terms(&v, call.Budget)
-	hash, keyed := g.key(call)
-	if keyed && g.passedBefore(call.Class, hash) {
-		return out
+	query := rules.Call{Island: e.Island, Hall: e.Hall, Class: e.Classes[call.Class].Name, Path: call.Origin.Path, Caller: call.Origin.Caller}
+	verdict := table.Lookup(&query, call.Budget)
+	terms := termsFor(&verdict, call.Budget)
+	hash, keyed := e.dedupHash(call)
+	if keyed && e.admittedBefore(call.Class, hash) {
+		return terms
 	}
-	if !v.Allowed {
-		g.refuse(t, t.Holding(&q, rules.Callers))
-		return routing.Terms{Refusal: refused(0)}
+	if !verdict.Allowed {
+		e.recordRefusal(table, table.Holding(&query, rules.Callers))
+		return routing.Terms{Refusal: limitedAnswer(0)}
 	}
-	if ids := counted(t, &v); ids != nil {
-		ticket, wait, ok := g.Limits.Take(ids, min(call.Budget, v.Deadline))
+	if ids := limitIDs(table, &verdict); ids != nil {
+		ticket, wait, ok := e.Limits.Take(ids, min(call.Budget, verdict.Deadline))
 		if !ok {
-			g.refuse(t, ids[0])
-			return routing.Terms{Refusal: refused(wait)}
+			e.recordRefusal(table, ids[0])
+			return routing.Terms{Refusal: limitedAnswer(wait)}
 		}
-		if v.Calls != rules.NoLimit {
-			out.Ended = func(routing.End) { g.Limits.Done(ticket) }
+		if verdict.Calls != rules.NoLimit {
+			terms.Ended = func(routing.End) { e.Limits.Done(ticket) }
 		}
 	}
 	if keyed {
-		g.pass(call.Class, hash)
+		e.rememberAdmitted(call.Class, hash)
 	}
-	return out
+	return terms
 }
 
-// key is a hash of a call's key and of who calls; false where there are no repeats by key. Two callers may choose the same key,
-// and what passed for one of them says nothing of the other.
-func (g *Enforcer) key(call *protocol.Call) (uint64, bool) {
-	if call.Origin.Key == "" || g.keys[call.Class].window <= 0 {
+// dedupHash hashes a call's idempotency key together with its caller, because two callers may choose the same key. It
+// returns false if the call has no key or its class does not recognize repeats.
+func (e *Enforcer) dedupHash(call *protocol.Call) (uint64, bool) {
+	if call.Origin.Key == "" || e.admittedKeys[call.Class].window <= 0 {
 		return 0, false
 	}
 	var h maphash.Hash
-	h.SetSeed(g.seed)
+	h.SetSeed(e.seed)
 	h.WriteString(call.Origin.Caller)
-	h.WriteByte(0) // neither has one: where one ends and the other begins is certain
+	h.WriteByte(0) // separator: neither part contains a zero byte
 	h.WriteString(call.Origin.Key)
 	return h.Sum64(), true
 }
 
-func (g *Enforcer) passedBefore(class int, hash uint64) bool {
-	k := &g.keys[class]
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.passed(hash, g.Now())
+func (e *Enforcer) admittedBefore(class int, hash uint64) bool {
+	admitted := &e.admittedKeys[class]
+	admitted.mu.Lock()
+	defer admitted.mu.Unlock()
+	return admitted.contains(hash, e.Now())
 }
 
-func (g *Enforcer) pass(class int, hash uint64) {
-	k := &g.keys[class]
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pass(hash, g.Now())
+func (e *Enforcer) rememberAdmitted(class int, hash uint64) {
+	admitted := &e.admittedKeys[class]
+	admitted.mu.Lock()
+	defer admitted.mu.Unlock()
+	admitted.add(hash, e.Now())
 }
 
-// Version is that of the record that the table in force was made for; 0 before there is one.
-func (g *Enforcer) Version() record.Version {
-	if t := g.table.Load(); t != nil {
-		return t.Version()
+// Version returns the record version that the current table was compiled for, or 0 if there is no table.
+func (e *Enforcer) Version() record.Version {
+	if table := e.table.Load(); table != nil {
+		return table.Version()
 	}
 	return 0
 }
 
 const (
-	lookPause  = 200 * time.Millisecond // between two looks for a record that is not there yet
-	leastPause = 20 * time.Millisecond  // between two looks at a record that changes
-	pauseShare = 10                     // a look takes at most one part in so many of a core
+	replicaPollInterval = 200 * time.Millisecond // between checks for a replica that does not exist yet
+	minFollowPause      = 20 * time.Millisecond  // after processing a view
+	followPauseFactor   = 10                     // pause as a multiple of the processing time: at most a tenth of a core is used
 )
 
-// Run follows the record until ctx is done. What it makes ready is made beside the calls.
-func (g *Enforcer) Run(ctx context.Context) { looks(ctx, g.Member, g.follow) }
+// Run follows the record until ctx is done. It compiles tables on its own goroutine, off the request path.
+func (e *Enforcer) Run(ctx context.Context) { followReplica(ctx, e.Member, e.applyView) }
 
-// looks gives a member's states to follow until ctx is done, the newest one now and then.
-func looks(ctx context.Context, m Member, follow func(record.View)) {
+// followReplica calls follow with the newest view of a member's replica after changes, with pauses, until ctx is done.
+func followReplica(ctx context.Context, member Member, follow func(record.View)) {
 	for ctx.Err() == nil {
 		var changed <-chan struct{}
-		pause := lookPause
-		if r := m.Replica(); r != nil {
-			changed = r.Changed()
-			begun := time.Now()
-			follow(r.View())
-			pause = max(leastPause, pauseShare*time.Since(begun))
+		pause := replicaPollInterval
+		if local := member.Replica(); local != nil {
+			changed = local.Changed()
+			started := time.Now()
+			follow(local.View())
+			pause = max(minFollowPause, followPauseFactor*time.Since(started))
 		}
 		if changed != nil {
 			select {
@@ -176,44 +177,44 @@
 			case <-ctx.Done():
 			}
 		}
-		select { // a record may change with every order: it is looked at now and then
+		select { // the record may change with every order, so views are rate limited
 		case <-time.After(pause):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// follow puts a view's rules in force. What cannot be read leaves the table before.
-func (g *Enforcer) follow(v record.View) {
-	if !record.Knows(v, rules.RuleKind) {
-		if !g.unknown {
-			g.Log.Warn("rules_unknown", "why", "this cluster was formed without rules; none are in force, nor can any be written")
+// applyView puts the rules of a view into effect. If they cannot be decoded, the previous table stays in effect.
+func (e *Enforcer) applyView(view record.View) {
+	if !record.Knows(view, rules.RuleKind) {
+		if !e.noRulesLogged {
+			e.Log.Warn("rules_unknown", "why", "this cluster was formed without rules; none are in force, nor can any be written")
 		}
-		g.unknown = true
+		e.noRulesLogged = true
 		return
 	}
-	g.unknown = false
-	g.take(v)
+	e.noRulesLogged = false
+	e.applyRules(view)
 }
 
-// take is follow for a record that has rules.
-func (g *Enforcer) take(v record.View) {
-	s, err := g.dec.Load(v)
+// applyRules compiles and installs the table of a view that supports rules.
+func (e *Enforcer) applyRules(view record.View) {
+	state, err := e.decoder.Load(view)
 	if err != nil {
-		if text := err.Error(); text != g.fault {
-			g.fault = text
-			g.Log.Error("rules_refused", "version", v.Version(), "kept", g.Version(), "err", err)
+		if text := err.Error(); text != e.lastError {
+			e.lastError = text
+			e.Log.Error("rules_refused", "version", view.Version(), "kept", e.Version(), "err", err)
 		}
 		return
 	}
-	g.fault = ""
-	if s == g.state {
+	e.lastError = ""
+	if state == e.state {
 		return
 	}
-	t := g.table.Load().Update(s, v.Version())
-	list := t.Limits()
-	g.Limits.Set(list)
-	g.table.Store(t)
-	g.state = s
-	g.Log.Info("rules", "version", t.Version(), "hash", t.Hash(), "limits", len(list))
+	table := e.table.Load().Update(state, view.Version())
+	tableLimits := table.Limits()
+	e.Limits.Set(tableLimits)
+	e.table.Store(table)
+	e.state = state
+	e.Log.Info("rules", "version", table.Version(), "hash", table.Hash(), "limits", len(tableLimits))
 }
--- a/internal/enforcement/enforcement_test.go
+++ b/internal/enforcement/enforcement_test.go
@@ -95,7 +95,7 @@
 			w.Fatal(text, r, err)
 		}
 	}
-	w.follow(w.r.View())
+	w.applyView(w.r.View())
 }
 
 // enter asks about a call, and gives the answer in short.
@@ -208,21 +208,21 @@
 
 // The memory of keys is bounded, forgets by its window alone, and never remembers longer than that.
 func TestKeysAreBounded(t *testing.T) {
-	k := keys{window: time.Second}
+	k := keySet{window: time.Second}
 	now := time.Unix(50, 0)
-	for i := range uint64(mostKeys) {
-		if !k.pass(i, now) {
+	for i := range uint64(maxKeysPerWindow) {
+		if !k.add(i, now) {
 			t.Fatal(i)
 		}
 	}
-	if k.pass(mostKeys, now) || k.passed(mostKeys, now) {
+	if k.add(maxKeysPerWindow, now) || k.contains(maxKeysPerWindow, now) {
 		t.Error("there was room for one more")
 	}
 	later := now.Add(time.Second - 1)
-	if !k.passed(0, later) || k.passed(0, later.Add(1)) {
+	if !k.contains(0, later) || k.contains(0, later.Add(1)) {
 		t.Error("not for its window")
 	}
-	if !k.pass(mostKeys, later.Add(1)) || !k.pass(7, now.Add(3*time.Second)) || len(k.of) != 1 || len(k.old) != 0 {
+	if !k.add(maxKeysPerWindow, later.Add(1)) || !k.add(7, now.Add(3*time.Second)) || len(k.current) != 1 || len(k.previous) != 0 {
 		t.Error("the room was not given back")
 	}
 }
@@ -242,7 +242,7 @@
 	if diff := cmp.Diff([]lease.Limit{{ID: "*/*/*#calls#a", Kind: "calls", Amount: 3, Cut: lease.Cut{Mode: "open"}}}, w.set); diff != "" {
 		t.Error(diff)
 	}
-	w.follow(w.r.View())                                          // nothing new: no line
+	w.applyView(w.r.View())                                       // nothing new: no line
 	if n := strings.Count(w.log.String(), "msg=rules "); n != 2 { // the world's, written as one, and the rule
 		t.Errorf("%d lines:\n%s", n, w.log.String())
 	}
@@ -264,7 +264,7 @@
 	w := governed(t, `rule */*/booking#callers#a {"mode":"default","callers":["app"]}`)
 	before := w.Version()
 	for range 3 {
-		w.take(spoilt{w.r.View()})
+		w.applyRules(spoilt{w.r.View()})
 	}
 	if w.Version() != before || strings.Count(w.log.String(), "rules_refused") != 1 || !strings.HasPrefix(w.enter(0, "web", "", ""), "refused") {
 		t.Errorf("version %d, not %d:\n%s", w.Version(), before, w.log.String())
@@ -274,8 +274,8 @@
 // A cluster without rules refuses nothing, and the log says once that it has none.
 func TestAClusterWithoutRules(t *testing.T) {
 	w := newWorld(t, record.Orders())
-	w.follow(w.r.View())
-	w.follow(w.r.View())
+	w.applyView(w.r.View())
+	w.applyView(w.r.View())
 	if got := w.enter(0, "", "", ""); got != "passes 0 false 0s" || strings.Count(w.log.String(), "rules_unknown") != 1 {
 		t.Errorf("%s\n%s", got, w.log.String())
 	}
@@ -285,19 +285,19 @@
 func TestRefusals(t *testing.T) {
 	w := governed(t)
 	table := w.table.Load()
-	for i := range namedRules + 5 {
-		w.refuse(table, fmt.Sprintf("r%02d", i))
-		w.refuse(table, fmt.Sprintf("r%02d", i))
+	for i := range maxNamedRules + 5 {
+		w.recordRefusal(table, fmt.Sprintf("r%02d", i))
+		w.recordRefusal(table, fmt.Sprintf("r%02d", i))
 	}
-	got := w.Refused()
-	if len(got) != namedRules+1 || !slices.Contains(got, Refused{others, 10}) || !slices.Contains(got, Refused{"r63", 2}) {
+	got := w.RefusalCounts()
+	if len(got) != maxNamedRules+1 || !slices.Contains(got, RefusalCount{otherRules, 10}) || !slices.Contains(got, RefusalCount{"r63", 2}) {
 		t.Error(got)
 	}
-	if n := strings.Count(w.log.String(), "rule_refused"); n != namedRules+1 {
+	if n := strings.Count(w.log.String(), "rule_refused"); n != maxNamedRules+1 {
 		t.Errorf("%d lines", n)
 	}
-	w.now = w.now.Add(linePause)
-	w.refuse(table, "r63")
+	w.now = w.now.Add(logInterval)
+	w.recordRefusal(table, "r63")
 	if !strings.Contains(w.log.String(), "rule=r63 owner=\"\" count=2") {
 		t.Error(w.log.String())
 	}
--- a/internal/enforcement/judge.go
+++ b/internal/enforcement/judge.go
@@ -8,38 +8,39 @@
 	"burlpass/internal/rules"
 )
 
-// leastWait is advised where nobody can tell when a call may pass.
-const leastWait = time.Second
+// defaultWait is the advised wait when it is unknown when a call would be admitted.
+const defaultWait = time.Second
 
-// counted are the limits that a call counts against, the nearest of each setting first.
-func counted(t *rules.Table, v *rules.Verdict) (ids []string) {
-	if v.Rate == rules.NoLimit && v.Calls == rules.NoLimit {
+// limitIDs returns the limits that a call counts against: those on its rate, then those on concurrent calls, each nearest
+// namespace first.
+func limitIDs(table *rules.Table, verdict *rules.Verdict) (ids []string) {
+	if verdict.Rate == rules.NoLimit && verdict.Calls == rules.NoLimit {
 		return nil
 	}
 	ids = make([]string, 0, 8)
-	for _, l := range [...]rules.Limit{v.Rate, v.Calls} {
-		for l != rules.NoLimit {
+	for _, limit := range [...]rules.Limit{verdict.Rate, verdict.Calls} {
+		for limit != rules.NoLimit {
 			var id string
-			id, _, l = t.Limit(l)
+			id, _, limit = table.Limit(limit)
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// terms are what the table says of a call that passes. They only ever make stricter what its class allows.
-func terms(v *rules.Verdict, budget time.Duration) (out routing.Terms) {
-	out.Attempts, out.Once = int(v.Attempts), !v.Repeat
-	if v.Deadline < budget {
-		out.Deadline = v.Deadline
+// termsFor returns the terms of an admitted call. They only ever tighten what its class allows.
+func termsFor(verdict *rules.Verdict, budget time.Duration) (terms routing.Terms) {
+	terms.Attempts, terms.Once = int(verdict.Attempts), !verdict.Repeat
+	if verdict.Deadline < budget {
+		terms.Deadline = verdict.Deadline
 	}
-	return out
+	return terms
 }
 
-// refused is the answer to a call that a rule refuses; wait is after how long it may pass, 0 where that cannot be told.
-func refused(wait time.Duration) *protocol.Answer {
+// limitedAnswer returns the answer to a call that a rule refuses. wait is the time until it may be admitted, 0 if unknown.
+func limitedAnswer(wait time.Duration) *protocol.Answer {
 	if wait <= 0 {
-		wait = leastWait
+		wait = defaultWait
 	}
 	return &protocol.Answer{Verdict: protocol.Limited, Wait: wait}
 }
--- a/internal/enforcement/keys.go
+++ b/internal/enforcement/keys.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// mostKeys is how many keys of a class are remembered for each of its windows.
-const mostKeys = 65_536
+// maxKeysPerWindow bounds the number of keys that a keySet remembers for each window.
+const maxKeysPerWindow = 65_536
 
-// keys remembers which keys of a class have passed, for the class's window from then on. It has no clock, and is for one goroutine
-// at a time. Full, it takes no more: their repeats are calls like any other.
-type keys struct {
-	window  time.Duration
-	turned  time.Time
-	of, old map[uint64]time.Time // by the key's hash: when it passed; since turned, and in the window before
+// keySet remembers the keys of a class's admitted calls, each for the class's window. Callers pass in the time and
+// serialize access. A full set accepts no more keys; repeats of those keys are treated like new calls.
+type keySet struct {
+	window            time.Duration
+	rotatedAt         time.Time
+	current, previous map[uint64]time.Time // admission times by key hash: since rotatedAt, and in the window before
 }
 
-// passed tells whether a key passed less than a window ago.
-func (k *keys) passed(key uint64, now time.Time) bool {
-	at, ok := k.of[key]
+// contains reports whether a key was added less than a window ago.
+func (k *keySet) contains(key uint64, now time.Time) bool {
+	admittedAt, ok := k.current[key]
 	if !ok {
-		at, ok = k.old[key]
+		admittedAt, ok = k.previous[key]
 	}
-	return ok && now.Sub(at) < k.window
+	return ok && now.Sub(admittedAt) < k.window
 }
 
-// pass remembers a key that passes now; false where there is no room.
-func (k *keys) pass(key uint64, now time.Time) bool {
-	if gone := now.Sub(k.turned); gone >= k.window {
-		if gone >= 2*k.window {
-			k.of = nil
+// add remembers a key as admitted now. It returns false if the set is full.
+func (k *keySet) add(key uint64, now time.Time) bool {
+	if elapsed := now.Sub(k.rotatedAt); elapsed >= k.window {
+		if elapsed >= 2*k.window {
+			k.current = nil
 		}
-		k.of, k.old, k.turned = map[uint64]time.Time{}, k.of, now
+		k.current, k.previous, k.rotatedAt = map[uint64]time.Time{}, k.current, now
 	}
-	if len(k.of) >= mostKeys {
+	if len(k.current) >= maxKeysPerWindow {
 		return false
 	}
-	k.of[key] = now
+	k.current[key] = now
 	return true
 }
--- a/internal/enforcement/metrics.go
+++ b/internal/enforcement/metrics.go
@@ -15,13 +15,13 @@
 	return prometheus.NewDesc("burlpass_rules_version", "The record's version that the rules in force at this process were made for.", nil, nil)
 }
 
-// Describe is a prometheus.Collector's.
-func (g *Enforcer) Describe(to chan<- *prometheus.Desc) { to <- refusedDesc(); to <- versionDesc() }
+// Describe implements prometheus.Collector.
+func (e *Enforcer) Describe(ch chan<- *prometheus.Desc) { ch <- refusedDesc(); ch <- versionDesc() }
 
-// Collect is a prometheus.Collector's.
-func (g *Enforcer) Collect(to chan<- prometheus.Metric) {
-	for _, r := range g.Refused() {
-		to <- prometheus.MustNewConstMetric(refusedDesc(), prometheus.CounterValue, float64(r.Calls), r.Rule)
+// Collect implements prometheus.Collector.
+func (e *Enforcer) Collect(ch chan<- prometheus.Metric) {
+	for _, count := range e.RefusalCounts() {
+		ch <- prometheus.MustNewConstMetric(refusedDesc(), prometheus.CounterValue, float64(count.Calls), count.Rule)
 	}
-	to <- prometheus.MustNewConstMetric(versionDesc(), prometheus.GaugeValue, float64(g.Version()))
+	ch <- prometheus.MustNewConstMetric(versionDesc(), prometheus.GaugeValue, float64(e.Version()))
 }
--- a/internal/enforcement/refusals.go
+++ b/internal/enforcement/refusals.go
@@ -9,69 +9,69 @@
 )
 
 const (
-	namedRules = 64 // that are counted each by its name
-	linePause  = time.Second
-	others     = "others"
+	maxNamedRules = 64          // rules that are counted individually
+	logInterval   = time.Second // minimum time between two log lines of a rule
+	otherRules    = "others"    // counts all further rules
 )
 
-// count is the refusals of one rule.
-type count struct {
-	total int64
-	since int64     // not logged yet
-	last  time.Time // logged
+// refusalCounter counts the refusals of one rule.
+type refusalCounter struct {
+	total    int64
+	unlogged int64 // refusals since the last log line
+	loggedAt time.Time
 }
 
-// refusals counts what rules refuse.
-type refusals struct {
-	mu sync.Mutex
-	of map[string]*count // by the rule's key, and others
+// refusalCounters counts refused calls by rule.
+type refusalCounters struct {
+	mu     sync.Mutex
+	byRule map[string]*refusalCounter // by rule key or otherRules
 }
 
-// refuse counts and now and then logs that a rule has refused a call.
-func (g *Enforcer) refuse(t *rules.Table, rule string) {
-	now := g.Now()
-	g.refusals.mu.Lock()
+// recordRefusal counts a call that a rule has refused and logs it, at most once per logInterval and rule.
+func (e *Enforcer) recordRefusal(table *rules.Table, rule string) {
+	now := e.Now()
+	e.refusalCounters.mu.Lock()
 	name := rule
-	c := g.of[name]
-	if c == nil && len(g.of) >= namedRules {
-		name = others
-		c = g.of[name]
+	counter := e.byRule[name]
+	if counter == nil && len(e.byRule) >= maxNamedRules {
+		name = otherRules
+		counter = e.byRule[name]
 	}
-	if c == nil {
-		c = &count{}
-		g.of[name] = c
+	if counter == nil {
+		counter = &refusalCounter{}
+		e.byRule[name] = counter
 	}
-	c.total++
-	c.since++
-	n, due := c.since, now.Sub(c.last) >= linePause
+	counter.total++
+	counter.unlogged++
+	unlogged, due := counter.unlogged, now.Sub(counter.loggedAt) >= logInterval
 	if due {
-		c.since, c.last = 0, now
+		counter.unlogged, counter.loggedAt = 0, now
 	}
-	g.refusals.mu.Unlock()
+	e.refusalCounters.mu.Unlock()
 	if due {
-		g.Log.Warn("rule_refused", "rule", rule, "owner", t.Owner(rule), "count", n, "version", t.Version())
+		e.Log.Warn("rule_refused", "rule", rule, "owner", table.Owner(rule), "count", unlogged, "version", table.Version())
 	}
 }
 
-// Refused is how many calls a rule has refused since the start.
-type Refused struct {
+// RefusalCount is the number of calls that a rule has refused since the process started.
+type RefusalCount struct {
 	Rule  string
 	Calls int64
 }
 
-// Refused gives the counts in the order of the rules' keys; those past the first 64 rules are under others.
-func (g *Enforcer) Refused() []Refused {
-	g.refusals.mu.Lock()
-	defer g.refusals.mu.Unlock()
-	var out []Refused
-	for rule, c := range g.of {
-		out = append(out, Refused{rule, c.total})
+// RefusalCounts returns the counts ordered by rule key. Rules after the first 64 are counted together as "others".
+func (e *Enforcer) RefusalCounts() []RefusalCount {
+	e.refusalCounters.mu.Lock()
+	defer e.refusalCounters.mu.Unlock()
+	var counts []RefusalCount
+	for rule, counter := range e.byRule {
+		counts = append(counts, RefusalCount{rule, counter.total})
 	}
-	slices.SortFunc(out, func(a, b Refused) int {
+	slices.SortFunc(counts, func(a, b RefusalCount) int {
 		if a.Rule < b.Rule {
 			return -1
 		}
 		return 1
 	})
-	return out
+	return counts
 }
--- a/internal/enforcement/versions.go
+++ b/internal/enforcement/versions.go
@@ -14,154 +14,154 @@
 	"burlpass/internal/usage"
 )
 
-// Versions is a routing.Gate before an Enforcer: it warns of versions that end, sheds and refuses their calls, and counts who uses them. Until
-// it has a table it lets all calls pass to the Enforcer.
+// Versions is a routing.Gate in front of an Enforcer. For API versions that are being retired it adds deprecation headers,
+// sheds or refuses calls, and counts usage by caller. It passes every call to the Enforcer until it has a table.
 type Versions struct {
-	governor *Enforcer
-	usage    *usage.Reporter
-	log      *slog.Logger
-	keys     []keyring // by class: those whose first try was let through
-	board    atomic.Pointer[board]
+	enforcer     *Enforcer
+	usage        *usage.Reporter
+	log          *slog.Logger
+	admittedKeys []lockedKeySet // indexed by class: keys of calls that were let through
+	timelines    atomic.Pointer[timelineTable]
 
-	tables retire.Tables // of Run, as the fault
-	fault  string
+	tables    retire.Tables // this and lastError belong to Run's goroutine
+	lastError string
 }
 
-// board is a table, and where its timelines' calls are counted.
-type board struct {
+// timelineTable is a table of timelines with the usage counters and prepared refusals of each timeline.
+type timelineTable struct {
 	*retire.Table
-	lines   []*usage.Line
-	refused []protocol.Answer // by timeline: of calls that are shed
-	ended   []protocol.Answer // of those whose version has ended
+	usageLines   []*usage.Line
+	shedAnswers  []protocol.Answer // by timeline: answer to a shed call
+	endedAnswers []protocol.Answer // by timeline: answer to a call of an ended version
 }
 
-// NewVersions returns Versions without a table.
-func NewVersions(g *Enforcer, u *usage.Reporter) *Versions {
-	v := &Versions{governor: g, usage: u, log: g.Log, keys: make([]keyring, len(g.Classes))}
-	for i, k := range g.Classes {
-		v.keys[i].window = k.Window
+// NewVersions returns a Versions that has no table yet.
+func NewVersions(enforcer *Enforcer, reporter *usage.Reporter) *Versions {
+	v := &Versions{enforcer: enforcer, usage: reporter, log: enforcer.Log, admittedKeys: make([]lockedKeySet, len(enforcer.Classes))}
+	for i, class := range enforcer.Classes {
+		v.admittedKeys[i].window = class.Window
 	}
 	return v
 }
 
 // Run follows the record until ctx is done.
-func (v *Versions) Run(ctx context.Context) { looks(ctx, v.governor.Member, v.follow) }
+func (v *Versions) Run(ctx context.Context) { followReplica(ctx, v.enforcer.Member, v.applyView) }
 
-// follow puts a state's timelines in force. What cannot be read leaves the table before.
-func (v *Versions) follow(view record.View) {
-	t, err := v.tables.Of(view)
+// applyView puts the timelines of a view into effect. If they cannot be decoded, the previous table stays in effect.
+func (v *Versions) applyView(view record.View) {
+	table, err := v.tables.Of(view)
 	if err != nil {
-		if text := err.Error(); text != v.fault {
-			v.fault = text
+		if text := err.Error(); text != v.lastError {
+			v.lastError = text
 			v.log.Error("timelines_refused", "version", view.Version(), "err", err)
 		}
 		return
 	}
-	v.fault = ""
-	if b := v.board.Load(); b != nil && b.Table == t {
+	v.lastError = ""
+	if current := v.timelines.Load(); current != nil && current.Table == table {
 		return
 	}
-	b := &board{Table: t}
-	for i := range t.Len() {
-		b.lines = append(b.lines, v.usage.Line(t.Key(i)))
-		n := t.Notice(i)
-		b.refused = append(b.refused, protocol.Answer{Verdict: protocol.Refused,
-			Header: "Retry-After: " + strconv.Itoa(n.RetryAfter) + "\r\n" + n.Lines})
-		b.ended = append(b.ended, protocol.Answer{Verdict: protocol.Ended, Header: n.Lines})
+	next := &timelineTable{Table: table}
+	for i := range table.Len() {
+		next.usageLines = append(next.usageLines, v.usage.Line(table.Key(i)))
+		notice := table.Notice(i)
+		next.shedAnswers = append(next.shedAnswers, protocol.Answer{Verdict: protocol.Refused,
+			Header: "Retry-After: " + strconv.Itoa(notice.RetryAfter) + "\r\n" + notice.Lines})
+		next.endedAnswers = append(next.endedAnswers, protocol.Answer{Verdict: protocol.Ended, Header: notice.Lines})
 	}
-	v.board.Store(b)
-	v.log.Info("timelines", "version", view.Version(), "timelines", t.Len())
+	v.timelines.Store(next)
+	v.log.Info("timelines", "version", view.Version(), "timelines", table.Len())
 }
 
-// Enter is the router's question about a call: versions first, then the rules and their limits.
+// Enter admits or refuses a call: first by its API version, then by rules and limits. It implements routing.Gate.
 func (v *Versions) Enter(call *protocol.Call) routing.Terms {
-	b := v.board.Load()
-	if b == nil || b.Len() == 0 || call.Origin == nil || call.Origin.Version == "" || call.Class >= len(v.keys) {
-		return v.governor.Enter(call)
+	timelines := v.timelines.Load()
+	if timelines == nil || timelines.Len() == 0 || call.Origin == nil || call.Origin.Version == "" || call.Class >= len(v.admittedKeys) {
+		return v.enforcer.Enter(call)
 	}
-	g := v.governor
-	q := rules.Call{Island: g.Island, Hall: g.Hall, Class: g.Classes[call.Class].Name, Path: call.Origin.Path, Caller: call.Origin.Caller}
-	n := b.Lookup(&q, call.Origin.Version)
-	follows := b.Follows(&q, call.Origin.Version, -1)
-	if n.Timeline < 0 && follows < 0 {
-		return g.Enter(call)
+	enforcer := v.enforcer
+	query := rules.Call{Island: enforcer.Island, Hall: enforcer.Hall, Class: enforcer.Classes[call.Class].Name, Path: call.Origin.Path, Caller: call.Origin.Caller}
+	notice := timelines.Lookup(&query, call.Origin.Version)
+	successorOf := timelines.Follows(&query, call.Origin.Version, -1)
+	if notice.Timeline < 0 && successorOf < 0 {
+		return enforcer.Enter(call)
 	}
 	var counts *usage.Counts
-	if n.Timeline >= 0 {
-		counts = b.lines[n.Timeline].Of(q.Caller)
+	if notice.Timeline >= 0 {
+		counts = timelines.usageLines[notice.Timeline].Of(query.Caller)
 		counts.Called()
 		switch {
-		case n.Ended:
-			return routing.Terms{Refusal: &b.ended[n.Timeline]}
-		case n.Shed && !call.Origin.UnderWay && !v.passed(call):
-			counts.Shed(g.worth(&q))
-			return routing.Terms{Refusal: &b.refused[n.Timeline]}
+		case notice.Ended:
+			return routing.Terms{Refusal: &timelines.endedAnswers[notice.Timeline]}
+		case notice.Shed && !call.Origin.UnderWay && !v.admittedBefore(call):
+			counts.Shed(enforcer.worth(&query))
+			return routing.Terms{Refusal: &timelines.shedAnswers[notice.Timeline]}
 		}
 	}
-	out := g.Enter(call)
-	if out.Refusal != nil {
-		return out
+	terms := enforcer.Enter(call)
+	if terms.Refusal != nil {
+		return terms
 	}
-	if n.Timeline >= 0 {
-		v.pass(call)
-		if out.Header += n.Lines; n.Lines != "" {
-			out.Written = func(protocol.Verdict) { counts.Warned() }
+	if notice.Timeline >= 0 {
+		v.rememberAdmitted(call)
+		if terms.Header += notice.Lines; notice.Lines != "" {
+			terms.Written = func(protocol.Verdict) { counts.Warned() }
 		}
 	}
-	if follows >= 0 {
-		b.follow(&q, call.Origin.Version, follows, &out)
+	if successorOf >= 0 {
+		timelines.countSuccessorCalls(&query, call.Origin.Version, successorOf, &terms)
 	}
-	return out
+	return terms
 }
 
-// follow has a call of a successor counted at its end, for each timeline that names it.
-func (b *board) follow(q *rules.Call, version string, first int, out *routing.Terms) {
-	var lines []*usage.Line
-	for i := first; i >= 0; i = b.Follows(q, version, i) {
-		lines = append(lines, b.lines[i])
+// countSuccessorCalls counts a call of a successor version when it ends, for each timeline that names that version.
+func (t *timelineTable) countSuccessorCalls(query *rules.Call, version string, first int, terms *routing.Terms) {
+	var usageLines []*usage.Line
+	for i := first; i >= 0; i = t.Follows(query, version, i) {
+		usageLines = append(usageLines, t.usageLines[i])
 	}
-	caller, before := q.Caller, out.Ended
-	out.Ended = func(end routing.End) {
-		if before != nil {
-			before(end)
+	caller, previous := query.Caller, terms.Ended
+	terms.Ended = func(end routing.End) {
+		if previous != nil {
+			previous(end)
 		}
 		if end.Left {
 			return
 		}
-		for _, l := range lines {
-			l.Of(caller).Next(end.Verdict != protocol.Served)
+		for _, line := range usageLines {
+			line.Of(caller).Next(end.Verdict != protocol.Served)
 		}
 	}
 }
 
-// passed tells whether a call repeats one that was let through.
-func (v *Versions) passed(call *protocol.Call) bool {
-	hash, keyed := v.governor.key(call)
+// admittedBefore reports whether a call repeats one that was let through.
+func (v *Versions) admittedBefore(call *protocol.Call) bool {
+	hash, keyed := v.enforcer.dedupHash(call)
 	if !keyed {
 		return false
 	}
-	k := &v.keys[call.Class]
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.passed(hash, v.governor.Now())
+	admitted := &v.admittedKeys[call.Class]
+	admitted.mu.Lock()
+	defer admitted.mu.Unlock()
+	return admitted.contains(hash, v.enforcer.Now())
 }
 
-func (v *Versions) pass(call *protocol.Call) {
-	hash, keyed := v.governor.key(call)
+func (v *Versions) rememberAdmitted(call *protocol.Call) {
+	hash, keyed := v.enforcer.dedupHash(call)
 	if !keyed {
 		return
 	}
-	k := &v.keys[call.Class]
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pass(hash, v.governor.Now())
+	admitted := &v.admittedKeys[call.Class]
+	admitted.mu.Lock()
+	defer admitted.mu.Unlock()
+	admitted.add(hash, v.enforcer.Now())
 }
 
-// worth is what rules say that a call is worth, 1 where they say nothing.
-func (g *Enforcer) worth(q *rules.Call) int64 {
-	if t := g.table.Load(); t != nil {
-		if w := t.Lookup(q, 0).Worth; w >= 0 {
-			return w
+// worth returns the worth that rules assign to a call, 1 by default.
+func (e *Enforcer) worth(query *rules.Call) int64 {
+	if table := e.table.Load(); table != nil {
+		if worth := table.Lookup(query, 0).Worth; worth >= 0 {
+			return worth
 		}
 	}
 	return 1
--- a/internal/enforcement/versions_test.go
+++ b/internal/enforcement/versions_test.go
@@ -72,14 +72,14 @@
 			t.Fatal(err)
 		}
 		w.apply(&record.Entry{Write: wr})
-		v.follow(w.r.View())
+		v.applyView(w.r.View())
 	}
 	dues, err := reader.Due(w.r.View())
 	if err != nil || len(dues.Steps) != 1 {
 		t.Fatal(dues, err)
 	}
 	w.apply(&record.Entry{Write: dues.Steps[0].Write})
-	v.follow(w.r.View())
+	v.applyView(w.r.View())
 
 	const lines = "Deprecation: @2\r\nSunset: Thu, 01 Jan 1970 00:00:04 GMT\r\nLink: </x>; rel=\"deprecation\", </x>; rel=\"sunset\", </v2>; rel=\"successor-version\"\r\n"
 	shed, ended := fmt.Sprintf("%d Retry-After: 30\r\n%s", protocol.Refused, lines), fmt.Sprintf("%d %s", protocol.Ended, lines)
