--- a/internal/enforcement/enforcement_test.go
+++ b/internal/enforcement/enforcement_test.go
@@ -22,55 +22,55 @@
 	"burlpass/internal/rules"
 )
 
-// world is a record with rules, a governor that follows it by hand, and limits that say what they are told to.
-type world struct {
+// fixture is a record with rules, an Enforcer that is updated after each write, and limits that answer as configured.
+type fixture struct {
 	testing.TB
 	*Enforcer
-	r    *replica.Replica
-	now  time.Time
-	log  bytes.Buffer
-	full map[string]time.Duration // limits without room, and after how long there is some
-	set  []lease.Limit
-	took [][]string
+	replica    *replica.Replica
+	now        time.Time
+	log        bytes.Buffer
+	exhausted  map[string]time.Duration // exhausted limits, and the wait they report
+	setLimits  []lease.Limit
+	limitCalls [][]string // the limits of each Take, and {"done"} for each Done
 }
 
-func newWorld(t testing.TB, domains ...record.Domain) *world {
-	w := &world{TB: t, r: replica.New(record.New(record.DefaultBounds(), domains...), 0, 0), now: time.Unix(1000, 0), full: map[string]time.Duration{}}
-	w.Enforcer = New(Config{Member: w, Limits: w, Island: "athens", Hall: "h1", Now: func() time.Time { return w.now },
-		Classes: []Class{{Name: "booking"}, {Name: "paid", Window: 10 * time.Second}}, Log: slog.New(slog.NewTextHandler(&w.log, nil))})
-	return w
+func newFixture(t testing.TB, domains ...record.Domain) *fixture {
+	f := &fixture{TB: t, replica: replica.New(record.New(record.DefaultBounds(), domains...), 0, 0), now: time.Unix(1000, 0), exhausted: map[string]time.Duration{}}
+	f.Enforcer = New(Config{Member: f, Limits: f, Island: "athens", Hall: "h1", Now: func() time.Time { return f.now },
+		Classes: []Class{{Name: "booking"}, {Name: "paid", Window: 10 * time.Second}}, Log: slog.New(slog.NewTextHandler(&f.log, nil))})
+	return f
 }
 
-func governed(t testing.TB, changes ...string) *world {
-	w := newWorld(t, rules.Domains(nil)...)
-	w.write("team root {}", "team book {}", `namespace */*/* {"owner":"root"}`, `namespace */*/booking {"parent":"*/*/*","owner":"book"}`,
+func newFixtureWithRules(t testing.TB, changes ...string) *fixture {
+	f := newFixture(t, rules.Domains(nil)...)
+	f.writeItems("team root {}", "team book {}", `namespace */*/* {"owner":"root"}`, `namespace */*/booking {"parent":"*/*/*","owner":"book"}`,
 		`class paid {"attempts":3,"repeat":true}`)
-	w.write(changes...)
-	return w
+	f.writeItems(changes...)
+	return f
 }
 
-func (w *world) Replica() *replica.Replica { return w.r }
+func (f *fixture) Replica() *replica.Replica { return f.replica }
 
-func (w *world) Set(l []lease.Limit) { w.set = l }
+func (f *fixture) Set(l []lease.Limit) { f.setLimits = l }
 
-func (w *world) Take(ids []string, _ time.Duration) (limits.Ticket, time.Duration, bool) {
-	w.took = append(w.took, ids)
+func (f *fixture) Take(ids []string, _ time.Duration) (limits.Ticket, time.Duration, bool) {
+	f.limitCalls = append(f.limitCalls, ids)
 	for _, id := range ids {
-		if wait, ok := w.full[id]; ok {
+		if wait, ok := f.exhausted[id]; ok {
 			return limits.Ticket{}, wait, false
 		}
 	}
 	return limits.Ticket{}, 0, true
 }
 
-func (w *world) Done(limits.Ticket) { w.took = append(w.took, []string{"done"}) }
+func (f *fixture) Done(limits.Ticket) { f.limitCalls = append(f.limitCalls, []string{"done"}) }
 
-// write applies "KIND KEY VALUE" items, each by its owner's root, and has the governor follow.
-func (w *world) write(items ...string) {
-	w.Helper()
+// writeItems applies "KIND KEY VALUE" items, each as its owner, and updates the Enforcer.
+func (f *fixture) writeItems(items ...string) {
+	f.Helper()
 	for _, text := range items {
 		part := strings.SplitN(text, " ", 3)
-		was, _ := w.r.View().Get(record.Kind(part[0]), part[1])
+		was, _ := f.replica.View().Get(record.Kind(part[0]), part[1])
 		was.Kind, was.Key = record.Kind(part[0]), part[1]
 		by := "root"
 		if strings.HasPrefix(part[1], "*/*/booking#") {
@@ -78,10 +78,10 @@
 		}
 		c, err := rules.Amend(was, json.RawMessage(part[2]), by)
 		if err != nil {
-			w.Fatal(err)
+			f.Fatal(err)
 		}
-		write := &record.Write{ID: fmt.Sprint("w", w.r.Version()), By: by, Base: w.r.Version(), Changes: []record.Change{c}}
-		if was.Kind == rules.NamespaceKind && part[1] == "*/*/*" { // the first write of all makes the root and its team
+		write := &record.Write{ID: fmt.Sprint("w", f.replica.Version()), By: by, Base: f.replica.Version(), Changes: []record.Change{c}}
+		if was.Kind == rules.NamespaceKind && part[1] == "*/*/*" { // the first write creates the root namespace together with the teams
 			write.Changes = append(write.Changes, record.Change{Kind: rules.TeamKind, Key: "root", Value: json.RawMessage(`{"now":{}}`)},
 				record.Change{Kind: rules.TeamKind, Key: "book", Value: json.RawMessage(`{"now":{}}`)})
 		} else if was.Kind == rules.TeamKind {
@@ -89,22 +89,22 @@
 		}
 		raw, err := record.Encode(&record.Entry{Write: write})
 		if err != nil {
-			w.Fatal(err)
+			f.Fatal(err)
 		}
-		if r, err := w.r.Apply(raw); err != nil || r.Outcome != record.Applied {
-			w.Fatal(text, r, err)
+		if r, err := f.replica.Apply(raw); err != nil || r.Outcome != record.Applied {
+			f.Fatal(text, r, err)
 		}
 	}
-	w.applyView(w.r.View())
+	f.applyView(f.replica.View())
 }
 
-// enter asks about a call, and gives the answer in short.
-func (w *world) enter(class int, caller, key, path string) string {
-	terms := w.Enter(&protocol.Call{Class: class, Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: caller, Key: key, Path: path}})
-	return short(terms)
+// enter passes a call to the Enforcer and describes the resulting terms.
+func (f *fixture) enter(class int, caller, key, path string) string {
+	terms := f.Enter(&protocol.Call{Class: class, Budget: 2 * time.Second, Origin: &protocol.Origin{Caller: caller, Key: key, Path: path}})
+	return describeTerms(terms)
 }
 
-func short(terms routing.Terms) string {
+func describeTerms(terms routing.Terms) string {
 	if a := terms.Refusal; a != nil {
 		return fmt.Sprintf("refused %d %v", a.Verdict, a.Wait)
 	}
@@ -117,97 +117,97 @@
 func TestEnter(t *testing.T) {
 	limited := fmt.Sprintf("refused %d ", protocol.Limited)
 	for name, test := range map[string]struct {
-		rules []string
-		full  map[string]time.Duration
-		call  func(w *world) string
-		want  string
-		took  [][]string
+		rules      []string
+		exhausted  map[string]time.Duration
+		call       func(f *fixture) string
+		want       string
+		limitCalls [][]string
 	}{
-		"no rules": {call: func(w *world) string { return w.enter(0, "", "", "") }, want: "passes 0 false 0s"},
+		"no rules": {call: func(f *fixture) string { return f.enter(0, "", "", "") }, want: "passes 0 false 0s"},
 		"terms": {rules: []string{`rule */*/*#attempts#a {"mode":"default","value":2}`, `rule */*/*#repeat#a {"mode":"default","value":0}`,
 			`rule */*/*#deadline#a {"mode":"default","value":1500}`},
-			call: func(w *world) string { return w.enter(0, "", "", "") }, want: "passes 2 true 1.5s"},
+			call: func(f *fixture) string { return f.enter(0, "", "", "") }, want: "passes 2 true 1.5s"},
 		"a deadline longer than the client's": {rules: []string{`rule */*/*#deadline#a {"mode":"default","value":2500}`},
-			call: func(w *world) string { return w.enter(0, "", "", "") }, want: "passes 0 false 0s"},
-		"the class's law": {rules: []string{`rule */*/*#attempts#a {"mode":"default","value":9}`},
-			call: func(w *world) string { return w.enter(1, "", "", "") }, want: "passes 3 false 0s"},
+			call: func(f *fixture) string { return f.enter(0, "", "", "") }, want: "passes 0 false 0s"},
+		"attempts above the class's maximum": {rules: []string{`rule */*/*#attempts#a {"mode":"default","value":9}`},
+			call: func(f *fixture) string { return f.enter(1, "", "", "") }, want: "passes 3 false 0s"},
 		"another caller": {rules: []string{`rule */*/booking#callers#a {"mode":"default","callers":["app"]}`},
-			call: func(w *world) string { return w.enter(0, "web", "", "") }, want: limited + "1s"},
+			call: func(f *fixture) string { return f.enter(0, "web", "", "") }, want: limited + "1s"},
 		"a caller": {rules: []string{`rule */*/booking#callers#a {"mode":"default","callers":["app"]}`},
-			call: func(w *world) string { return w.enter(0, "app", "", "") }, want: "passes 0 false 0s"},
+			call: func(f *fixture) string { return f.enter(0, "app", "", "") }, want: "passes 0 false 0s"},
 		"another class": {rules: []string{`rule */*/booking#callers#a {"mode":"default","callers":["app"]}`},
-			call: func(w *world) string { return w.enter(1, "web", "", "") }, want: "passes 3 false 0s"},
-		"a limit and the bound above it": {
+			call: func(f *fixture) string { return f.enter(1, "web", "", "") }, want: "passes 3 false 0s"},
+		"a limit and the parent's bound": {
 			rules: []string{`rule */*/*#rate#a {"mode":"bound","value":9000}`, `rule */*/booking#rate#b {"mode":"default","share":500}`},
-			call:  func(w *world) string { return w.enter(0, "", "", "") }, want: "passes 0 false 0s",
-			took: [][]string{{"*/*/booking#rate#b", "*/*/*#rate#a"}}},
-		"calls are given back": {rules: []string{`rule */*/*#calls#a {"mode":"default","value":9}`},
-			call: func(w *world) string { return w.enter(0, "", "", "") }, want: "passes 0 false 0s",
-			took: [][]string{{"*/*/*#calls#a"}, {"done"}}},
-		"no room": {rules: []string{`rule */*/*#rate#a {"mode":"default","value":9}`}, full: map[string]time.Duration{"*/*/*#rate#a": 30 * time.Millisecond},
-			call: func(w *world) string { return w.enter(0, "", "", "") }, want: limited + "30ms", took: [][]string{{"*/*/*#rate#a"}}},
-		"no room, nobody knows until when": {rules: []string{`rule */*/*#rate#a {"mode":"default","value":0}`}, full: map[string]time.Duration{"*/*/*#rate#a": 0},
-			call: func(w *world) string { return w.enter(0, "", "", "") }, want: limited + "1s", took: [][]string{{"*/*/*#rate#a"}}},
+			call:  func(f *fixture) string { return f.enter(0, "", "", "") }, want: "passes 0 false 0s",
+			limitCalls: [][]string{{"*/*/booking#rate#b", "*/*/*#rate#a"}}},
+		"concurrent calls are released": {rules: []string{`rule */*/*#calls#a {"mode":"default","value":9}`},
+			call: func(f *fixture) string { return f.enter(0, "", "", "") }, want: "passes 0 false 0s",
+			limitCalls: [][]string{{"*/*/*#calls#a"}, {"done"}}},
+		"limit exhausted": {rules: []string{`rule */*/*#rate#a {"mode":"default","value":9}`}, exhausted: map[string]time.Duration{"*/*/*#rate#a": 30 * time.Millisecond},
+			call: func(f *fixture) string { return f.enter(0, "", "", "") }, want: limited + "30ms", limitCalls: [][]string{{"*/*/*#rate#a"}}},
+		"limit exhausted, wait unknown": {rules: []string{`rule */*/*#rate#a {"mode":"default","value":0}`}, exhausted: map[string]time.Duration{"*/*/*#rate#a": 0},
+			call: func(f *fixture) string { return f.enter(0, "", "", "") }, want: limited + "1s", limitCalls: [][]string{{"*/*/*#rate#a"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := governed(t, test.rules...)
-			w.full = test.full
-			if got := test.call(w); got != test.want {
+			f := newFixtureWithRules(t, test.rules...)
+			f.exhausted = test.exhausted
+			if got := test.call(f); got != test.want {
 				t.Errorf("%s, not %s", got, test.want)
 			}
-			if diff := cmp.Diff(test.took, w.took); diff != "" {
+			if diff := cmp.Diff(test.limitCalls, f.limitCalls); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// A repeat of a key that has passed passes whatever rules say by now, and no limit counts it again; another key, a class without
-// repeats by key, a key that was refused and one whose window is over are calls like any other.
-func TestRepeatsOfAKey(t *testing.T) {
-	w := governed(t, `rule */*/*#rate#a {"mode":"default","value":9}`)
+// A repeat of an admitted key is admitted even if the rules have changed, and no limit counts it again. Another key, a class
+// that does not recognize repeats, a refused key and a key whose window is over are treated as new calls.
+func TestRepeatedKeyIsAdmitted(t *testing.T) {
+	f := newFixtureWithRules(t, `rule */*/*#rate#a {"mode":"default","value":9}`)
 	pass, no := "passes 3 false 0s", fmt.Sprintf("refused %d 1s", protocol.Limited)
-	step := func(class int, key, want string) {
+	expect := func(class int, key, want string) {
 		t.Helper()
-		if got := w.enter(class, "", key, ""); !strings.HasPrefix(got, strings.Fields(want)[0]) {
+		if got := f.enter(class, "", key, ""); !strings.HasPrefix(got, strings.Fields(want)[0]) {
 			t.Errorf("%s, not %s", got, want)
 		}
 	}
-	step(1, "k1", pass)
-	step(0, "k2", pass)
-	w.full["*/*/*#rate#a"] = 0
-	step(1, "k1", pass)
-	step(1, "k3", no)
-	step(1, "k3", no)
-	step(0, "k2", no)
-	step(1, "", no)
-	w.write(`rule */*/*#callers#a {"mode":"default","callers":["app"]}`)
-	step(1, "k1", pass)
-	w.now = w.now.Add(9999 * time.Millisecond)
-	step(1, "k1", pass)
-	w.now = w.now.Add(time.Millisecond)
-	step(1, "k1", no)
+	expect(1, "k1", pass)
+	expect(0, "k2", pass)
+	f.exhausted["*/*/*#rate#a"] = 0
+	expect(1, "k1", pass)
+	expect(1, "k3", no)
+	expect(1, "k3", no)
+	expect(0, "k2", no)
+	expect(1, "", no)
+	f.writeItems(`rule */*/*#callers#a {"mode":"default","callers":["app"]}`)
+	expect(1, "k1", pass)
+	f.now = f.now.Add(9999 * time.Millisecond)
+	expect(1, "k1", pass)
+	f.now = f.now.Add(time.Millisecond)
+	expect(1, "k1", no)
 	taken := 0
-	for _, ids := range w.took {
+	for _, ids := range f.limitCalls {
 		taken += len(ids)
 	}
-	if taken != 6 { // k1, k2, and the four refused by the limit; callers refuse before it is asked
-		t.Errorf("limits were asked %d times: %v", taken, w.took)
+	if taken != 6 { // k1, k2 and the four refused by the limit; the callers rule refuses before limits are consulted
+		t.Errorf("limits were consulted %d times: %v", taken, f.limitCalls)
 	}
 }
 
-// What has passed for one caller does not pass for another that has chosen the same key.
-func TestKeysOfTwoCallers(t *testing.T) {
-	w := governed(t, `rule */*/*#callers#a {"mode":"default","callers":["app"]}`)
-	steps := []string{w.enter(1, "app", "k1", ""), w.enter(1, "web", "k1", ""), w.enter(1, "", "appk1", ""), w.enter(1, "app", "k1", "")}
+// A key admitted for one caller does not admit a call of another caller that has chosen the same key.
+func TestKeysAreScopedToCaller(t *testing.T) {
+	f := newFixtureWithRules(t, `rule */*/*#callers#a {"mode":"default","callers":["app"]}`)
+	steps := []string{f.enter(1, "app", "k1", ""), f.enter(1, "web", "k1", ""), f.enter(1, "", "appk1", ""), f.enter(1, "app", "k1", "")}
 	pass, refused := "passes 3 false 0s", fmt.Sprintf("refused %d 1s", protocol.Limited)
 	if diff := cmp.Diff([]string{pass, refused, refused, pass}, steps); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// The memory of keys is bounded, forgets by its window alone, and never remembers longer than that.
-func TestKeysAreBounded(t *testing.T) {
+// A key set is bounded, and remembers each key for exactly its window.
+func TestKeySetIsBounded(t *testing.T) {
 	k := keySet{window: time.Second}
 	now := time.Unix(50, 0)
 	for i := range uint64(maxKeysPerWindow) {
@@ -216,42 +216,42 @@
 		}
 	}
 	if k.add(maxKeysPerWindow, now) || k.contains(maxKeysPerWindow, now) {
-		t.Error("there was room for one more")
+		t.Error("a full set accepted another key")
 	}
 	later := now.Add(time.Second - 1)
 	if !k.contains(0, later) || k.contains(0, later.Add(1)) {
-		t.Error("not for its window")
+		t.Error("key not remembered for exactly its window")
 	}
 	if !k.add(maxKeysPerWindow, later.Add(1)) || !k.add(7, now.Add(3*time.Second)) || len(k.current) != 1 || len(k.previous) != 0 {
-		t.Error("the room was not given back")
+		t.Error("expired keys still take up space")
 	}
 }
 
-// A table is in force from when it is read, a call keeps the terms that it had, and the limits are set with it.
-func TestFollow(t *testing.T) {
-	w := governed(t)
-	before := w.Version()
-	terms := w.Enter(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{}})
-	w.write(`rule */*/*#calls#a {"mode":"default","value":3,"cut":{"mode":"open"}}`)
-	if got := short(terms); got != "passes 0 false 0s" || w.took != nil {
-		t.Errorf("the call's terms changed: %s %v", got, w.took)
+// A new table takes effect together with its limits, while a call in progress keeps its terms.
+func TestApplyView(t *testing.T) {
+	f := newFixtureWithRules(t)
+	before := f.Version()
+	terms := f.Enter(&protocol.Call{Budget: time.Second, Origin: &protocol.Origin{}})
+	f.writeItems(`rule */*/*#calls#a {"mode":"default","value":3,"cut":{"mode":"open"}}`)
+	if got := describeTerms(terms); got != "passes 0 false 0s" || f.limitCalls != nil {
+		t.Errorf("the call's terms changed: %s %v", got, f.limitCalls)
 	}
-	if w.Version() != before+1 {
-		t.Errorf("version %d after %d", w.Version(), before)
+	if f.Version() != before+1 {
+		t.Errorf("version %d after %d", f.Version(), before)
 	}
-	if diff := cmp.Diff([]lease.Limit{{ID: "*/*/*#calls#a", Kind: "calls", Amount: 3, Cut: lease.Cut{Mode: "open"}}}, w.set); diff != "" {
+	if diff := cmp.Diff([]lease.Limit{{ID: "*/*/*#calls#a", Kind: "calls", Amount: 3, Cut: lease.Cut{Mode: "open"}}}, f.setLimits); diff != "" {
 		t.Error(diff)
 	}
-	w.applyView(w.r.View())                                       // nothing new: no line
-	if n := strings.Count(w.log.String(), "msg=rules "); n != 2 { // the world's, written as one, and the rule
-		t.Errorf("%d lines:\n%s", n, w.log.String())
+	f.applyView(f.replica.View())                                 // unchanged: not logged
+	if n := strings.Count(f.log.String(), "msg=rules "); n != 2 { // one for the fixture's items, one for the rule
+		t.Errorf("%d lines:\n%s", n, f.log.String())
 	}
 }
 
-// spoilt shows a value that no domain would have let in.
-type spoilt struct{ record.View }
+// corruptView returns a rule that no domain would have accepted.
+type corruptView struct{ record.View }
 
-func (s spoilt) Each(k record.Kind, f func(record.Item) bool) {
+func (s corruptView) Each(k record.Kind, f func(record.Item) bool) {
 	if k == rules.RuleKind {
 		f(record.Item{Kind: k, Key: "*/*/*#rate#x", Value: json.RawMessage(`{"now":{"mode":"newer"}}`), Version: 99})
 		return
@@ -259,59 +259,59 @@
 	s.View.Each(k, f)
 }
 
-// What does not decode leaves the table before, and is told once.
-func TestASpoiltState(t *testing.T) {
-	w := governed(t, `rule */*/booking#callers#a {"mode":"default","callers":["app"]}`)
-	before := w.Version()
+// A state that cannot be decoded leaves the previous table in effect and is logged once.
+func TestCorruptStateKeepsPreviousTable(t *testing.T) {
+	f := newFixtureWithRules(t, `rule */*/booking#callers#a {"mode":"default","callers":["app"]}`)
+	before := f.Version()
 	for range 3 {
-		w.applyRules(spoilt{w.r.View()})
+		f.applyRules(corruptView{f.replica.View()})
 	}
-	if w.Version() != before || strings.Count(w.log.String(), "rules_refused") != 1 || !strings.HasPrefix(w.enter(0, "web", "", ""), "refused") {
-		t.Errorf("version %d, not %d:\n%s", w.Version(), before, w.log.String())
+	if f.Version() != before || strings.Count(f.log.String(), "rules_refused") != 1 || !strings.HasPrefix(f.enter(0, "web", "", ""), "refused") {
+		t.Errorf("version %d, not %d:\n%s", f.Version(), before, f.log.String())
 	}
 }
 
-// A cluster without rules refuses nothing, and the log says once that it has none.
-func TestAClusterWithoutRules(t *testing.T) {
-	w := newWorld(t, record.Orders())
-	w.applyView(w.r.View())
-	w.applyView(w.r.View())
-	if got := w.enter(0, "", "", ""); got != "passes 0 false 0s" || strings.Count(w.log.String(), "rules_unknown") != 1 {
-		t.Errorf("%s\n%s", got, w.log.String())
+// In a cluster without rules no call is refused, and their absence is logged once.
+func TestClusterWithoutRules(t *testing.T) {
+	f := newFixture(t, record.Orders())
+	f.applyView(f.replica.View())
+	f.applyView(f.replica.View())
+	if got := f.enter(0, "", "", ""); got != "passes 0 false 0s" || strings.Count(f.log.String(), "rules_unknown") != 1 {
+		t.Errorf("%s\n%s", got, f.log.String())
 	}
 }
 
-// Refusals are counted by rule up to a number of rules, and logged once a second a rule.
-func TestRefusals(t *testing.T) {
-	w := governed(t)
-	table := w.table.Load()
+// Refusals are counted by rule up to maxNamedRules, and logged at most once a second per rule.
+func TestRefusalCounts(t *testing.T) {
+	f := newFixtureWithRules(t)
+	table := f.table.Load()
 	for i := range maxNamedRules + 5 {
-		w.recordRefusal(table, fmt.Sprintf("r%02d", i))
-		w.recordRefusal(table, fmt.Sprintf("r%02d", i))
+		f.recordRefusal(table, fmt.Sprintf("r%02d", i))
+		f.recordRefusal(table, fmt.Sprintf("r%02d", i))
 	}
-	got := w.RefusalCounts()
+	got := f.RefusalCounts()
 	if len(got) != maxNamedRules+1 || !slices.Contains(got, RefusalCount{otherRules, 10}) || !slices.Contains(got, RefusalCount{"r63", 2}) {
 		t.Error(got)
 	}
-	if n := strings.Count(w.log.String(), "rule_refused"); n != maxNamedRules+1 {
+	if n := strings.Count(f.log.String(), "rule_refused"); n != maxNamedRules+1 {
 		t.Errorf("%d lines", n)
 	}
-	w.now = w.now.Add(logInterval)
-	w.recordRefusal(table, "r63")
-	if !strings.Contains(w.log.String(), "rule=r63 owner=\"\" count=2") {
-		t.Error(w.log.String())
+	f.now = f.now.Add(logInterval)
+	f.recordRefusal(table, "r63")
+	if !strings.Contains(f.log.String(), "rule=r63 owner=\"\" count=2") {
+		t.Error(f.log.String())
 	}
 }
 
-// Run follows a record until it is stopped.
+// Run follows the record until its context is cancelled.
 func TestRun(t *testing.T) {
-	w := governed(t)
-	w.Enforcer.table.Store(nil)
-	w.Enforcer.state = nil
+	f := newFixtureWithRules(t)
+	f.Enforcer.table.Store(nil)
+	f.Enforcer.state = nil
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx) }()
-	for w.Version() == 0 {
+	go func() { defer close(done); f.Run(ctx) }()
+	for f.Version() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
