--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -31,18 +31,18 @@
 	key   = "*/*/booking@v1"
 )
 
-// plant is three voters in this process, each with a clock of its own.
-type plant struct {
+// testCluster is a cluster of three voters in this process, each with its own clock.
+type testCluster struct {
 	t      *testing.T
-	ms     atomic.Int64 // the time by a right clock
-	ahead  [3]atomic.Int64
+	nowMs  atomic.Int64    // the correct time
+	skewMs [3]atomic.Int64 // how far each voter's clock is ahead
 	voters []*voter.Voter
-	n      int
+	writes int
 }
 
-func newPlant(t *testing.T) *plant {
-	p := &plant{t: t}
-	p.ms.Store(start)
+func newTestCluster(t *testing.T) *testCluster {
+	c := &testCluster{t: t}
+	c.nowMs.Store(start)
 	var peers []voter.Peer
 	var muxes [3]atomic.Pointer[http.ServeMux]
 	for i := range 3 {
@@ -60,7 +60,7 @@
 		v, err := voter.Open(context.Background(), voter.Config{Cluster: "plant", Name: peers[i].Name, Folder: t.TempDir(), Voters: peers,
 			Bounds: record.DefaultBounds(), Domains: append(rules.Domains(retire.Env), retire.Domains()...),
 			Timings: voter.Timings{Clock: 20 * time.Millisecond}, Log: logging.Discard(),
-			Now: func() time.Time { return time.UnixMilli(p.ms.Load() + p.ahead[i].Load()) },
+			Now: func() time.Time { return time.UnixMilli(c.nowMs.Load() + c.skewMs[i].Load()) },
 			Reign: func(ctx context.Context, m api.Member) {
 				New(slog.New(slog.NewTextHandler(t.Output(), nil))).Run(ctx, m, 20*time.Millisecond)
 			}})
@@ -70,41 +70,41 @@
 		mux := http.NewServeMux()
 		v.Mount(mux)
 		muxes[i].Store(mux)
-		p.voters = append(p.voters, v)
+		c.voters = append(c.voters, v)
 		t.Cleanup(func() {
 			if err := v.Close(); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	return p
+	return c
 }
 
-// write has a write taken, by any voter that can.
-func (p *plant) write(w *record.Write) record.Result {
-	p.t.Helper()
-	p.n++
-	w.ID = fmt.Sprint("test", p.n)
+// write submits a write to the voters in turn until one returns a result.
+func (c *testCluster) write(w *record.Write) record.Result {
+	c.t.Helper()
+	c.writes++
+	w.ID = fmt.Sprint("test", c.writes)
 	for {
-		ctx, cancel := context.WithTimeout(p.t.Context(), 5*time.Second)
-		r, err := p.voters[p.n%3].Write(ctx, w)
+		ctx, cancel := context.WithTimeout(c.t.Context(), 5*time.Second)
+		r, err := c.voters[c.writes%3].Write(ctx, w)
 		cancel()
 		if err == nil {
 			return r
 		}
-		if p.t.Context().Err() != nil {
-			p.t.Fatal(err)
+		if c.t.Context().Err() != nil {
+			c.t.Fatal(err)
 		}
 	}
 }
 
-// until waits until a voter shows what f wants.
-func (p *plant) until(i int, what string, f func(record.View) bool) record.View {
-	p.t.Helper()
+// await waits until a voter's view satisfies a condition.
+func (c *testCluster) await(i int, what string, f func(record.View) bool) record.View {
+	c.t.Helper()
 	late := time.After(time.Minute)
 	for {
 		changed := (<-chan struct{})(nil)
-		if r := p.voters[i].Replica(); r != nil {
+		if r := c.voters[i].Replica(); r != nil {
 			changed = r.Changed()
 			if v := r.View(); f(v) {
 				return v
@@ -114,52 +114,52 @@
 		case <-changed:
 		case <-time.After(10 * time.Millisecond): // there may be no state yet
 		case <-late:
-			p.t.Fatalf("not within a minute: %s", what)
+			c.t.Fatalf("not reached within a minute: %s", what)
 		}
 	}
 }
 
-func at(v record.View) (s retire.Stage) {
+func stageOf(v record.View) (s retire.Stage) {
 	if i, ok := v.Get(retire.StageKind, key); ok {
 		_ = json.Unmarshal(i.Value, &s)
 	}
 	return s
 }
 
-// goesOn sets the right time, and waits until the record has it.
-func (p *plant) goesOn(by time.Duration) record.View {
-	p.t.Helper()
-	ms := p.ms.Add(by.Milliseconds())
-	return p.until(0, "the record's time", func(v record.View) bool { return v.TimeMs() >= ms })
+// advance moves the correct time forward and waits until the record's time has caught up.
+func (c *testCluster) advance(by time.Duration) record.View {
+	c.t.Helper()
+	ms := c.nowMs.Add(by.Milliseconds())
+	return c.await(0, "the record's time", func(v record.View) bool { return v.TimeMs() >= ms })
 }
 
-// moves waits for a stage at all voters.
-func (p *plant) moves(to string) {
-	p.t.Helper()
-	for i := range p.voters {
-		p.until(i, to, func(v record.View) bool { return at(v).Stage == to })
+// awaitStage waits until all voters have reached a stage.
+func (c *testCluster) awaitStage(to string) {
+	c.t.Helper()
+	for i := range c.voters {
+		c.await(i, to, func(v record.View) bool { return stageOf(v).Stage == to })
 	}
 }
 
-// stays lets the leader look often, and wants nothing to have moved.
-func (p *plant) stays(stage string) {
-	p.t.Helper()
-	from := p.until(0, "a state", func(record.View) bool { return true })
-	v := p.until(0, "clock entries", func(v record.View) bool { return v.Version() >= from.Version()+4 })
-	if got := at(v).Stage; got != stage {
-		p.t.Fatalf("it moved to %s", got)
+// expectStage gives the leader time for several passes and fails the test if the stage changes.
+func (c *testCluster) expectStage(stage string) {
+	c.t.Helper()
+	from := c.await(0, "a state", func(record.View) bool { return true })
+	v := c.await(0, "clock entries", func(v record.View) bool { return v.Version() >= from.Version()+4 })
+	if got := stageOf(v).Stage; got != stage {
+		c.t.Fatalf("the stage changed to %s", got)
 	}
 }
 
-// A timeline goes all its way over three members by counts of two processes. What a leader's clock says, a week ahead, moves nothing, nor
-// does a step that it makes by that clock.
-func TestATimelineOverThreeMembers(t *testing.T) {
-	p := newPlant(t)
+// A timeline passes through all stages on three members, based on the usage counts of two processes. A leader whose clock is
+// a week ahead must not advance it, and a step dated by that clock must be rejected.
+func TestTimelineAcrossThreeMembers(t *testing.T) {
+	c := newTestCluster(t)
 	need := &retire.Need{Above: 100, Times: 10, ForMs: day}
 	tl := retire.Timeline{Successor: "v2", SuccessorLink: "/v2", Link: "https://api.example/v1", RetryS: 10, Steps: []retire.Step{
 		{Stage: retire.Announced, AtMs: start}, {Stage: retire.Warned, AtMs: start + day}, {Stage: retire.Shed, Share: 500, AtMs: start + 2*day, Need: need},
 		{Stage: retire.Ended, AtMs: start + 5*day, AfterMs: day, Need: need}}}
-	set := func(kind record.Kind, key string, v any) record.Change {
+	change := func(kind record.Kind, key string, v any) record.Change {
 		now, _ := json.Marshal(v)
 		c, err := rules.Amend(record.Item{Kind: kind, Key: key}, now, "root")
 		if err != nil {
@@ -167,36 +167,36 @@
 		}
 		return c
 	}
-	p.until(0, "the first time", func(v record.View) bool { return v.TimeMs() >= start })
-	for _, w := range [][]record.Change{{set(rules.TeamKind, "root", rules.Team{}), set(rules.NamespaceKind, "*/*/*", rules.Namespace{Owner: "root"}),
-		set(rules.NamespaceKind, "*/*/booking", rules.Namespace{Parent: "*/*/*", Owner: "root"})}, {set(retire.TimelineKind, key, tl)}} {
-		if r := p.write(&record.Write{By: "root", Changes: w}); r.Outcome != record.Applied {
+	c.await(0, "the first time", func(v record.View) bool { return v.TimeMs() >= start })
+	for _, w := range [][]record.Change{{change(rules.TeamKind, "root", rules.Team{}), change(rules.NamespaceKind, "*/*/*", rules.Namespace{Owner: "root"}),
+		change(rules.NamespaceKind, "*/*/booking", rules.Namespace{Parent: "*/*/*", Owner: "root"})}, {change(retire.TimelineKind, key, tl)}} {
+		if r := c.write(&record.Write{By: "root", Changes: w}); r.Outcome != record.Applied {
 			t.Fatal(r)
 		}
 	}
-	p.moves(retire.Announced)
+	c.awaitStage(retire.Announced)
 	leader := 0
-	for i, v := range p.voters {
+	for i, v := range c.voters {
 		if v.Status().State == "leader" {
 			leader = i
 		}
 	}
-	p.ahead[leader].Store(7 * day)
-	p.stays(retire.Announced)
-	p.goesOn(24 * time.Hour)
-	p.moves(retire.Warned)
-	p.goesOn(24 * time.Hour)
-	p.stays(retire.Warned) // nobody has been warned
+	c.skewMs[leader].Store(7 * day)
+	c.expectStage(retire.Announced)
+	c.advance(24 * time.Hour)
+	c.awaitStage(retire.Warned)
+	c.advance(24 * time.Hour)
+	c.expectStage(retire.Warned) // no caller has been warned
 	forged, _ := json.Marshal(retire.Stage{At: 2, Stage: retire.Shed, SinceMs: start + 9*day, Cut: "8000000000000000",
 		Log: []retire.Move{{Ms: start + 9*day, By: "cluster/steward", Do: retire.DoStep, To: 2}}})
-	v := p.voters[leader].Replica().View()
-	if r := p.write(&record.Write{By: "cluster/steward", Base: v.Version(), Changes: []record.Change{{Kind: retire.StageKind, Key: key, Value: forged}}}); r.Outcome != record.Invalid || !strings.Contains(r.Reason, "the record's time is") {
+	v := c.voters[leader].Replica().View()
+	if r := c.write(&record.Write{By: "cluster/steward", Base: v.Version(), Changes: []record.Change{{Kind: retire.StageKind, Key: key, Value: forged}}}); r.Outcome != record.Invalid || !strings.Contains(r.Reason, "the record's time is") {
 		t.Fatalf("a step by the leader's clock: %+v", r)
 	}
-	var counts []*usage.Reporter
-	for i, name := range []string{"a", "b"} { // ten warnings of each caller at both together
-		r := usage.New(usage.Config{Member: p.voters[i], Process: name, Log: logging.Discard()})
-		counts = append(counts, r)
+	var reporters []*usage.Reporter
+	for i, name := range []string{"a", "b"} { // ten warnings for each caller, five from each process
+		r := usage.New(usage.Config{Member: c.voters[i], Process: name, Log: logging.Discard()})
+		reporters = append(reporters, r)
 		for range 5 {
 			for _, caller := range []string{"app", "web"} {
 				c := r.Line(key).Of(caller)
@@ -206,11 +206,11 @@
 		}
 	}
 	reader := &retire.Reader{}
-	seen := func(r *usage.Reporter, calls int64) { // in all, also what is folded
+	awaitCalls := func(r *usage.Reporter, calls int64) { // totals include folded counts
 		t.Helper()
-		for tries := 0; ; tries++ { // while there is no leader, and where a quiet incarnation was folded, it is told again
+		for tries := 0; ; tries++ { // report again while there is no leader, or if an idle incarnation was folded
 			r.Report(t.Context())
-			sums, err := reader.Sums(p.voters[0].Replica().View(), key)
+			sums, err := reader.Sums(c.voters[0].Replica().View(), key)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -222,22 +222,22 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	seen(counts[0], 10)
-	p.goesOn(25 * time.Hour)
-	p.stays(retire.Warned) // by one process's counts they have been warned five times
-	seen(counts[1], 20)
-	p.moves(retire.Shed) // ten times at both together, for the first time a day ago
-	p.goesOn(25 * time.Hour)
-	p.stays(retire.Shed)
-	for i := range counts {
-		counts[i].Line(key).Of("app").Called()
-		seen(counts[i], int64(21+i))
+	awaitCalls(reporters[0], 10)
+	c.advance(25 * time.Hour)
+	c.expectStage(retire.Warned) // one process's counts show only five warnings
+	awaitCalls(reporters[1], 20)
+	c.awaitStage(retire.Shed) // ten warnings in total, the first a day ago
+	c.advance(25 * time.Hour)
+	c.expectStage(retire.Shed)
+	for i := range reporters {
+		reporters[i].Line(key).Of("app").Called()
+		awaitCalls(reporters[i], int64(21+i))
 	}
-	p.goesOn(25 * time.Hour)
-	p.moves(retire.Ended)
-	first := p.voters[0].Replica().View()
-	for _, m := range at(first).Log {
-		if m.Ms > p.ms.Load()+retire.StageLeadMs || m.Do != retire.DoStep {
+	c.advance(25 * time.Hour)
+	c.awaitStage(retire.Ended)
+	first := c.voters[0].Replica().View()
+	for _, m := range stageOf(first).Log {
+		if m.Ms > c.nowMs.Load()+retire.StageLeadMs || m.Do != retire.DoStep {
 			t.Fatalf("%+v", m)
 		}
 	}
