--- a/internal/enforcement/versions.go
+++ b/internal/enforcement/versions.go
@@ -36,9 +36,9 @@
 }
 
 // NewVersions returns a Versions that has no table yet.
-func NewVersions(enforcer *Enforcer, reporter *usage.Reporter) *Versions {
-	v := &Versions{enforcer: enforcer, usage: reporter, log: enforcer.Log, admittedKeys: make([]lockedKeySet, len(enforcer.Classes))}
-	for i, class := range enforcer.Classes {
+func NewVersions(e *Enforcer, reporter *usage.Reporter) *Versions {
+	v := &Versions{enforcer: e, usage: reporter, log: e.Log, admittedKeys: make([]lockedKeySet, len(e.Classes))}
+	for i, class := range e.Classes {
 		v.admittedKeys[i].window = class.Window
 	}
 	return v
