--- a/internal/cluster/api/api.go
+++ b/internal/cluster/api/api.go
@@ -43,9 +43,9 @@
 
 // Errors of the methods of Member. They are wrapped with details.
 var (
-	ErrRefused = errors.New("request refused")
-	ErrUnknown = errors.New("outcome unknown; retry with the same id")
-	ErrNothing = errors.New("no state available yet")
+	ErrRefused = errors.New("not taken")
+	ErrUnknown = errors.New("unknown whether taken; ask again under the same id")
+	ErrNothing = errors.New("no state to show yet")
 )
 
 // Voter is a voter in the current configuration of the cluster.
--- a/internal/cluster/api/batches.go
+++ b/internal/cluster/api/batches.go
@@ -74,7 +74,7 @@
 	freshAt   time.Time // when it was certainly the newest
 }
 
-var errBusy = errors.New("too many full states are being sent")
+var errBusy = errors.New("as many whole states as are allowed are being sent")
 
 // acquire waits up to stateSlotTimeout for a slot and returns a state that is not older than since. The caller must call
 // release after the transfer.
--- a/internal/cluster/api/client.go
+++ b/internal/cluster/api/client.go
@@ -78,7 +78,7 @@
 func readAll(src io.Reader, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(src, maxBytes+1))
 	if err == nil && int64(len(body)) > maxBytes {
-		err = fmt.Errorf("response exceeds %d bytes", maxBytes)
+		err = fmt.Errorf("an answer over %d bytes", maxBytes)
 	}
 	return body, err
 }
@@ -129,7 +129,7 @@
 		return 0, "", err
 	}
 	if a.Version == nil {
-		return 0, "", errors.New("response has no version")
+		return 0, "", errors.New("an answer without a version")
 	}
 	return *a.Version, a.Cluster, nil
 }
@@ -182,7 +182,7 @@
 	case status == http.StatusOK:
 		var result record.Result
 		if err := json.Unmarshal(body, &result); err != nil || result.ID != id || result.Outcome == "" {
-			return record.Result{}, fmt.Errorf("%w: response is not a result of write: %.100q", ErrUnknown, body)
+			return record.Result{}, fmt.Errorf("%w: an answer that is no result of it: %.100q", ErrUnknown, body)
 		}
 		return result, nil
 	case status == http.StatusServiceUnavailable && reply.Refused != "":
--- a/internal/cluster/api/followers.go
+++ b/internal/cluster/api/followers.go
@@ -25,7 +25,7 @@
 	byName map[string]*followerSlot
 }
 
-var errSuperseded = errors.New("superseded by a newer call with the same name")
+var errSuperseded = errors.New("asked again under the same name")
 
 // followerSlot is the slot of one follower.
 type followerSlot struct {
--- a/internal/cluster/api/lease.go
+++ b/internal/cluster/api/lease.go
@@ -59,7 +59,7 @@
 		err = json.Unmarshal(respBody, &a)
 	}
 	if err == nil && a.Number != ask.Number {
-		err = errors.New("response belongs to another request")
+		err = errors.New("an answer to another question")
 	}
 	if err != nil {
 		return lease.Answer{}, fmt.Errorf("%w: %w", ErrRefused, err)
--- a/internal/cluster/frames/frames.go
+++ b/internal/cluster/frames/frames.go
@@ -25,7 +25,7 @@
 )
 
 // ErrCorrupted reports a frame that was altered in transit. The connection cannot be used any further.
-var ErrCorrupted = errors.New("frame corrupted in transit")
+var ErrCorrupted = errors.New("bytes were spoilt on the way")
 
 // Dial wraps a dial function so that its connections send and receive frames.
 func Dial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/cluster/observer/floor.go
+++ b/internal/cluster/observer/floor.go
@@ -109,7 +109,7 @@
 		return err
 	}
 	if slotHeaderBytes+len(body) > slotBytes {
-		return fmt.Errorf("%s: watermark of %d bytes does not fit: names are too long", w.file.Name(), len(body))
+		return fmt.Errorf("%s: names of %d bytes together are too long", w.file.Name(), len(body))
 	}
 	raw := make([]byte, slotBytes)
 	binary.BigEndian.PutUint16(raw[4:], uint16(len(body)))
--- a/internal/cluster/observer/forward.go
+++ b/internal/cluster/observer/forward.go
@@ -69,7 +69,7 @@
 	select {
 	case <-o.ready:
 	case <-ctx.Done():
-		return refused(fmt.Errorf("%w: waiting for version %d", api.ErrNothing, minVersion))
+		return refused(fmt.Errorf("%w: version %d is waited for", api.ErrNothing, minVersion))
 	}
 	for {
 		changed := o.state.Changed()
@@ -84,7 +84,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return refused(fmt.Errorf("this member is at version %d, the leader was at version %d", o.state.View().Version(), minVersion))
+			return refused(fmt.Errorf("this member is at version %d, the leader was at %d", o.state.View().Version(), minVersion))
 		}
 	}
 }
@@ -103,7 +103,7 @@
 		case attemptErr != nil:
 			err = fmt.Errorf("%s: %w", s.Name, attemptErr)
 		case cluster != "" && ownCluster != "" && cluster != ownCluster:
-			err = fmt.Errorf("%s: it belongs to cluster %q, this observer to cluster %q", s.Name, cluster, ownCluster)
+			err = fmt.Errorf("%s: it is of the cluster %q, this observer's is %q", s.Name, cluster, ownCluster)
 		default:
 			return askedAt, minVersion, nil
 		}
