--- a/internal/sourcecheck/deadlines.go
+++ b/internal/sourcecheck/deadlines.go
@@ -9,27 +9,27 @@
 	"strings"
 )
 
-// deadlineOwners are the files that may set a socket's deadline, in the packages in which deadlines have one owner. Elsewhere
-// in these packages a stage would replace what another has set, and nobody would own their sum.
+// deadlineOwners lists, for each restricted package, the files that may set a socket's deadline. Elsewhere in these packages one
+// stage would overwrite the deadline of another, and no code would own the total.
 var deadlineOwners = map[string][]string{
-	"internal/transport": {"deadline.go", "pool.go", "attempt.go", "exchange.go"}, // clients; the rest is the backends' side
-	"internal/protocol":  {"registry.go"},                                         // a call to discovery, bound by its context
+	"internal/transport": {"deadline.go", "pool.go", "attempt.go", "exchange.go"}, // connections of clients; the others are to workers
+	"internal/protocol":  {"registry.go"},                                         // a request to the registry, limited by its context
 	"internal/routing":   {},
 	"internal/program":   {},
 }
 
 var deadlineMethods = []string{"SetDeadline", "SetReadDeadline", "SetWriteDeadline"}
 
-// strayDeadlines finds the calls that set a deadline outside its owner.
-func strayDeadlines(path string, files *token.FileSet, file *ast.File) []string {
-	owners, owned := deadlineOwners[strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), "./")]
-	if !owned || slices.Contains(owners, filepath.Base(path)) {
+// misplacedDeadlines returns a finding for each call that sets a deadline outside the owning files.
+func misplacedDeadlines(path string, fileSet *token.FileSet, file *ast.File) []string {
+	owners, restricted := deadlineOwners[strings.TrimPrefix(filepath.ToSlash(filepath.Dir(path)), "./")]
+	if !restricted || slices.Contains(owners, filepath.Base(path)) {
 		return nil
 	}
 	var findings []string
 	ast.Inspect(file, func(n ast.Node) bool {
 		if call, ok := n.(*ast.SelectorExpr); ok && slices.Contains(deadlineMethods, call.Sel.Name) {
-			findings = append(findings, fmt.Sprintf("%s: %s beside the owner of the connection's deadlines", files.Position(call.Pos()), call.Sel.Name))
+			findings = append(findings, fmt.Sprintf("%s: %s beside the owner of the connection's deadlines", fileSet.Position(call.Pos()), call.Sel.Name))
 		}
 		return true
 	})
--- a/internal/sourcecheck/deadlines_test.go
+++ b/internal/sourcecheck/deadlines_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A deadline that is set beside its owner is found, in the packages where it has one.
-func TestStrayDeadlines(t *testing.T) {
+// A deadline that is set outside the owning files is reported in the restricted packages only.
+func TestMisplacedDeadlines(t *testing.T) {
 	const text = "package p\n\nfunc f(c interface{ SetReadDeadline(int) }) { c.SetReadDeadline(1) }\n"
 	for path, want := range map[string]int{
 		"internal/protocol/answer.go": 1, "internal/protocol/registry.go": 0, "internal/transport/deadline.go": 0,
--- a/internal/sourcecheck/main.go
+++ b/internal/sourcecheck/main.go
@@ -1,6 +1,6 @@
-// Command sourcecheck prints what the repository's own rules for Go files find: a file that is too long, an exported
-// item without a doc comment, which staticcheck's checks of comments pass over, and a socket's deadline that is set beside
-// its one owner.
+// Command sourcecheck checks the repository's own rules for Go files. It reports files that are too long, exported items
+// without a doc comment (which staticcheck does not report), and socket deadlines that are set outside the files that own
+// them.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"strings"
 )
 
-// maxLines is the length of a Go file, tests included: what a reader can hold in view as one job.
+// maxLines is the maximum length of a Go file, tests included, so that a file stays small enough to have one job.
 const maxLines = 400
 
 func main() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// checkTree checks every Go file below root. Hidden folders are left out.
+// checkTree checks every Go file below root. Hidden directories are skipped.
 func checkTree(root string) ([]string, error) {
 	var findings []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -64,22 +64,22 @@
 	if strings.HasSuffix(path, "_test.go") {
 		return findings, nil
 	}
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, source, parser.ParseComments|parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, source, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		return findings, err
 	}
-	findings = append(findings, strayDeadlines(path, files, file)...)
+	findings = append(findings, misplacedDeadlines(path, fileSet, file)...)
 	if file.Name.Name == "main" {
 		return findings, nil
 	}
 	for _, name := range undocumented(file) {
-		findings = append(findings, fmt.Sprintf("%s: exported %s has no doc comment", files.Position(name.Pos()), name.Name))
+		findings = append(findings, fmt.Sprintf("%s: exported %s has no doc comment", fileSet.Position(name.Pos()), name.Name))
 	}
 	return findings, nil
 }
 
-// undocumented returns the exported names of a file that have no comment of their own and none of their group.
+// undocumented returns the exported names of a file that have neither a comment of their own nor one on their group.
 func undocumented(file *ast.File) []*ast.Ident {
 	var names []*ast.Ident
 	for _, declaration := range file.Decls {
@@ -103,7 +103,7 @@
 	return exported
 }
 
-// exportedReceiver tells whether a function is no method, or one of an exported type.
+// exportedReceiver reports whether a function is not a method, or is a method of an exported type.
 func exportedReceiver(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
