--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -11,40 +11,40 @@
 type event struct {
 	Action      string
 	Package     string
-	ImportPath  string // of build output
+	ImportPath  string // set for build output
 	Test        string
 	Output      string
 	FailedBuild string
 }
 
-// fatalMarks are the texts of a failure that is more than one test's verdict: other tests may not have run, or are at fault.
-var fatalMarks = []string{"panic: ", "fatal error: ", "WARNING: DATA RACE", "race detected", "test timed out", "*** Test killed"}
+// fatalPatterns mark failures that go beyond one test: other tests may not have run, or may have caused them.
+var fatalPatterns = []string{"panic: ", "fatal error: ", "WARNING: DATA RACE", "race detected", "test timed out", "*** Test killed"}
 
-// packageRun is what one package's tests have given so far.
+// packageRun holds the output and results of one package's tests so far.
 type packageRun struct {
-	output      []event
-	results     map[string]string // by test: run, pass, fail or skip
-	fatal       string            // the first line with a mark of fatalMarks
-	outside     string            // the last line written while no test ran, the result lines left out
-	failedBuild bool
+	output       []event
+	results      map[string]string // by test: run, pass, fail or skip
+	fatal        string            // the first line that matches fatalPatterns
+	outsideTests string            // the last line written outside any test, except result lines
+	failedBuild  bool
 }
 
-// report follows the events of go test, prints what go test prints without -json, and judges each package by the list.
+// report consumes the events of go test, prints what go test prints without -json, and checks each package against the list.
 type report struct {
-	out      io.Writer
-	list     []entry
-	running  map[string]*packageRun
-	verdicts map[testName]string // of the listed tests that ended
-	faults   []string            // why the check fails
-	ran      int                 // packages that ended
-	failed   int                 // packages among them that go test calls failed
+	out            io.Writer
+	list           []knownFailure
+	running        map[string]*packageRun
+	listedResults  map[testName]string // results of the listed tests
+	failures       []string            // reasons why the check fails
+	packagesEnded  int                 // packages that have finished
+	packagesFailed int                 // finished packages that go test reports as failed
 }
 
-func newReport(out io.Writer, list []entry) *report {
-	return &report{out: out, list: list, running: map[string]*packageRun{}, verdicts: map[testName]string{}}
+func newReport(out io.Writer, list []knownFailure) *report {
+	return &report{out: out, list: list, running: map[string]*packageRun{}, listedResults: map[testName]string{}}
 }
 
-// read takes events until the stream ends. What is no event is an error.
+// read handles events until the stream ends. It fails on input that is not an event.
 func (r *report) read(stream io.Reader) error {
 	decoder := json.NewDecoder(stream)
 	for {
@@ -56,11 +56,11 @@
 		if err != nil {
 			return fmt.Errorf("reading the events of go test: %w", err)
 		}
-		r.take(e)
+		r.handle(e)
 	}
 }
 
-func (r *report) take(e event) {
+func (r *report) handle(e event) {
 	if e.Action == "build-output" {
 		fmt.Fprint(r.out, e.Output)
 		return
@@ -75,7 +75,7 @@
 	}
 	switch e.Action {
 	case "output":
-		run.take(e)
+		run.addOutput(e)
 	case "run", "pass", "fail", "skip":
 		if e.Test != "" {
 			run.results[e.Test] = e.Action
@@ -85,53 +85,53 @@
 			return
 		}
 		run.failedBuild = e.FailedBuild != ""
-		r.end(e.Package, e.Action, run)
+		r.finishPackage(e.Package, e.Action, run)
 		delete(r.running, e.Package)
 	}
 }
 
-func (p *packageRun) take(e event) {
+func (p *packageRun) addOutput(e event) {
 	p.output = append(p.output, e)
 	if p.fatal != "" {
 		return
 	}
 	line := strings.TrimSpace(e.Output)
-	for _, mark := range fatalMarks {
-		if strings.Contains(line, mark) {
+	for _, pattern := range fatalPatterns {
+		if strings.Contains(line, pattern) {
 			p.fatal = line
 		}
 	}
-	if e.Test == "" && !isResult(line) {
-		p.outside = line
+	if e.Test == "" && !isResultLine(line) {
+		p.outsideTests = line
 	}
 }
 
-// end judges a package whose tests are over, and prints its output.
-func (r *report) end(name, action string, run *packageRun) {
-	r.ran++
+// finishPackage checks a package whose tests have finished, and prints its output.
+func (r *report) finishPackage(name, action string, run *packageRun) {
+	r.packagesEnded++
 	for test, result := range run.results {
-		r.note(testName{name, test}, result)
+		r.recordResult(testName{name, test}, result)
 	}
-	r.print(name, action, run)
+	r.printPackage(name, action, run)
 	if action != "fail" {
 		return
 	}
-	r.failed++
-	if why := r.unforgiven(name, run); why != "" {
-		r.faults = append(r.faults, name+": "+why)
+	r.packagesFailed++
+	if why := r.failureReason(name, run); why != "" {
+		r.failures = append(r.failures, name+": "+why)
 	}
 }
 
-func (r *report) note(test testName, result string) {
+func (r *report) recordResult(test testName, result string) {
 	for _, listed := range r.list {
 		if listed.name == test {
-			r.verdicts[test] = result
+			r.listedResults[test] = result
 		}
 	}
 }
 
-// unforgiven says why a failed package fails the check, and nothing where only listed tests have failed in it.
-func (r *report) unforgiven(name string, run *packageRun) string {
+// failureReason returns why a failed package fails the check, or "" if only listed tests failed.
+func (r *report) failureReason(name string, run *packageRun) string {
 	switch {
 	case run.failedBuild:
 		return "it was not built"
@@ -147,20 +147,20 @@
 			continue
 		}
 		failures++
-		if !r.listed(testName{name, test}) && !r.onlyParent(testName{name, test}, run) {
+		if !r.isListed(testName{name, test}) && !r.failedOnlyInListedSubtest(testName{name, test}, run) {
 			return test + " failed"
 		}
 	}
 	if failures == 0 {
 		return "it failed outside its tests"
 	}
-	if run.outside != "" { // TestMain may have found a fault of its own, such as a goroutine left over
-		return "it wrote outside its tests: " + run.outside
+	if run.outsideTests != "" { // TestMain may have reported a failure, such as a leaked goroutine
+		return "it wrote outside its tests: " + run.outsideTests
 	}
 	return ""
 }
 
-func (r *report) listed(test testName) bool {
+func (r *report) isListed(test testName) bool {
 	for _, listed := range r.list {
 		if listed.name.covers(test) {
 			return true
@@ -169,9 +169,9 @@
 	return false
 }
 
-// onlyParent tells whether a test is held to have failed for a listed subtest alone: it has one that failed, and has
-// written nothing of its own.
-func (r *report) onlyParent(test testName, run *packageRun) bool {
+// failedOnlyInListedSubtest reports whether a test counts as failed only because of a listed subtest: such a
+// subtest failed, and the test itself wrote no output.
+func (r *report) failedOnlyInListedSubtest(test testName, run *packageRun) bool {
 	parent := false
 	for _, listed := range r.list {
 		if test.covers(listed.name) && run.results[listed.name.Test] == "fail" {
@@ -182,26 +182,26 @@
 		return false
 	}
 	for _, e := range run.output {
-		if e.Test == test.Test && !isFrame(e.Output) {
+		if e.Test == test.Test && !isTestMarker(e.Output) {
 			return false
 		}
 	}
 	return true
 }
 
-// isResult tells whether a line is one of those that close a package's output.
-func isResult(line string) bool {
+// isResultLine reports whether a line is one of those that end a package's output.
+func isResultLine(line string) bool {
 	return line == "" || line == "PASS" || line == "FAIL" || strings.HasPrefix(line, "FAIL\t") || line == "exit status 1"
 }
 
-// isFrame tells whether a line is one that the testing package writes around a test.
-func isFrame(line string) bool {
+// isTestMarker reports whether a line is one that the testing package prints before or after a test.
+func isTestMarker(line string) bool {
 	line = strings.TrimSpace(line)
 	return strings.HasPrefix(line, "=== ") || strings.HasPrefix(line, "--- ")
 }
 
-// print writes what go test writes of a package without -v: its result line, and before it the output of what failed.
-func (r *report) print(name, action string, run *packageRun) {
+// printPackage prints what go test prints for a package without -v: the output of failures, then its result line.
+func (r *report) printPackage(name, action string, run *packageRun) {
 	for _, e := range run.output {
 		shown := e.Test != "" && action == "fail" && run.results[e.Test] != "pass" && run.results[e.Test] != "skip"
 		if e.Test == "" {
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// maxEntries bounds the list: it is for faults that are mended first next time, not a store of them.
+// maxEntries limits the list: it holds faults that are due to be fixed next, not a backlog.
 const maxEntries = 3
 
-// entry is one line of the list: a test that may fail for now.
-type entry struct {
+// knownFailure is one line of the list: a test that is allowed to fail.
+type knownFailure struct {
 	name  testName
 	cause string
 	issue string
 }
 
-// testName is a test as go test -json names it.
+// testName identifies a test as go test -json does.
 type testName struct {
 	Package string
 	Test    string
@@ -24,7 +24,7 @@
 
 func (n testName) String() string { return n.Package + "." + n.Test }
 
-// covers tells whether other is this test or one of its subtests.
+// covers reports whether other is this test or one of its subtests.
 func (n testName) covers(other testName) bool {
 	return n.Package == other.Package && (n.Test == other.Test || strings.HasPrefix(other.Test, n.Test+"/"))
 }
@@ -34,9 +34,9 @@
 	issuePattern = regexp.MustCompile(`^issue [0-9]+$`)
 )
 
-// parseList reads the list: one line an entry, "package.Test; cause; issue N". Empty lines count for nothing.
-func parseList(text string) ([]entry, error) {
-	var list []entry
+// parseList parses the list: one "package.Test; cause; issue N" per line. Empty lines are ignored.
+func parseList(text string) ([]knownFailure, error) {
+	var list []knownFailure
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
@@ -58,23 +58,23 @@
 	return list, nil
 }
 
-func parseEntry(line string) (entry, error) {
+func parseEntry(line string) (knownFailure, error) {
 	fields := strings.Split(line, ";")
 	if len(fields) != 3 {
-		return entry{}, fmt.Errorf("%q is not of the form \"package.Test; cause; issue N\"", line)
+		return knownFailure{}, fmt.Errorf("%q is not of the form \"package.Test; cause; issue N\"", line)
 	}
 	for i := range fields {
 		fields[i] = strings.TrimSpace(fields[i])
 	}
 	name := testPattern.FindStringSubmatch(fields[0])
 	if name == nil {
-		return entry{}, fmt.Errorf("%q is not a package's path, a dot and a test", fields[0])
+		return knownFailure{}, fmt.Errorf("%q is not a package's path, a dot and a test", fields[0])
 	}
 	if fields[1] == "" {
-		return entry{}, fmt.Errorf("%s has no cause", fields[0])
+		return knownFailure{}, fmt.Errorf("%s has no cause", fields[0])
 	}
 	if !issuePattern.MatchString(fields[2]) {
-		return entry{}, fmt.Errorf("%s: %q is not of the form \"issue N\"", fields[0], fields[2])
+		return knownFailure{}, fmt.Errorf("%s: %q is not of the form \"issue N\"", fields[0], fields[2])
 	}
-	return entry{name: testName{Package: name[1], Test: name[2]}, cause: fields[1], issue: fields[2]}, nil
+	return knownFailure{name: testName{Package: name[1], Test: name[2]}, cause: fields[1], issue: fields[2]}, nil
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,11 +1,11 @@
-// Command knownred runs go test and lets it pass over the tests that KNOWN-RED.txt names, and over nothing else:
+// Command knownred runs go test and tolerates failures of the tests listed in KNOWN-RED.txt, and no others:
 //
 //	knownred LIST ARGUMENTS OF GO TEST [-- ARGUMENTS OF A FURTHER GO TEST]...
 //
-// A line of the list is "package.Test; cause; issue N"; there may be three. A listed test still runs, and is printed where it
-// fails. One that passes or does not run fails the check until its line is removed. Builds, panics, time-outs, races and
-// failures outside tests are never passed over, also where a listed test has failed beside them. The runs come one after
-// another, the first that fails is the last.
+// Each line of the list is "package.Test; cause; issue N"; at most three are allowed. A listed test still runs, and its
+// failure is printed. The check fails if a listed test passes or does not run, until its line is removed. Build errors,
+// panics, timeouts, races and failures outside tests are never tolerated, even beside the failure of a listed test. The
+// runs are sequential and stop at the first that fails.
 package main
 
 import (
@@ -21,27 +21,27 @@
 		fmt.Fprintln(os.Stderr, "usage: knownred LIST ARGUMENTS OF GO TEST [-- ARGUMENTS]...")
 		os.Exit(2)
 	}
-	if err := check(os.Stdout, os.Args[1], groups(os.Args[2:])); err != nil {
+	if err := check(os.Stdout, os.Args[1], splitArguments(os.Args[2:])); err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
 }
 
-// groups divides arguments at each "--".
-func groups(arguments []string) [][]string {
-	divided := [][]string{nil}
+// splitArguments splits arguments into one run per "--" separator.
+func splitArguments(arguments []string) [][]string {
+	runs := [][]string{nil}
 	for _, argument := range arguments {
 		if argument == "--" {
-			divided = append(divided, nil)
+			runs = append(runs, nil)
 			continue
 		}
-		last := len(divided) - 1
-		divided[last] = append(divided[last], argument)
+		last := len(runs) - 1
+		runs[last] = append(runs[last], argument)
 	}
-	return divided
+	return runs
 }
 
-// check runs go test with each of the groups in turn, and returns why the whole does not pass.
+// check runs go test with each list of arguments in turn, and returns an error if the check fails.
 func check(out io.Writer, path string, runs [][]string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -53,15 +53,15 @@
 	}
 	r := newReport(out, list)
 	for _, arguments := range runs {
-		if err := r.goTest("", arguments); err != nil {
+		if err := r.runGoTest("", arguments); err != nil {
 			return err
 		}
 	}
-	return r.verdict()
+	return r.checkListed()
 }
 
-// goTest is one run of go test in a folder. It returns an error where something has failed that is not listed.
-func (r *report) goTest(folder string, arguments []string) error {
+// runGoTest runs go test once in folder. It returns an error if anything unlisted failed.
+func (r *report) runGoTest(folder string, arguments []string) error {
 	command := exec.Command("go", append([]string{"test", "-json"}, arguments...)...)
 	command.Dir = folder
 	command.Stderr = os.Stderr
@@ -69,35 +69,35 @@
 	if err != nil {
 		return err
 	}
-	before := r.failed
+	failedBefore := r.packagesFailed
 	if err := command.Start(); err != nil {
 		return err
 	}
 	readErr := r.read(stream)
-	_, _ = io.Copy(r.out, stream) // what follows a line that is no event, so that go test can end
-	return errors.Join(readErr, r.judge(command.Wait(), before))
+	_, _ = io.Copy(r.out, stream) // drain the output after a line that is not an event, so that go test can exit
+	return errors.Join(readErr, r.checkRun(command.Wait(), failedBefore))
 }
 
-// judge weighs how go test ended against the packages that failed in it, which are those since before.
-func (r *report) judge(ended error, before int) error {
+// checkRun compares the exit status of go test with the packages that failed in this run: those counted beyond failedBefore.
+func (r *report) checkRun(waitErr error, failedBefore int) error {
 	for name := range r.running {
-		r.faults = append(r.faults, name+": it did not end")
+		r.failures = append(r.failures, name+": it did not end")
 	}
 	var faults error
-	for _, fault := range r.faults {
+	for _, fault := range r.failures {
 		faults = errors.Join(faults, errors.New(fault))
 	}
-	if faults == nil && ended != nil && r.failed == before {
-		return fmt.Errorf("go test: %w", ended)
+	if faults == nil && waitErr != nil && r.packagesFailed == failedBefore {
+		return fmt.Errorf("go test: %w", waitErr)
 	}
 	return faults
 }
 
-// verdict judges the list once all has run: each of its tests must have failed.
-func (r *report) verdict() error {
+// checkListed checks, after all runs, that each listed test has failed.
+func (r *report) checkListed() error {
 	var faults error
 	for _, listed := range r.list {
-		switch result := r.verdicts[listed.name]; result {
+		switch result := r.listedResults[listed.name]; result {
 		case "fail":
 			fmt.Fprintf(r.out, "known red, passed over: %s: %s (%s)\n", listed.name, listed.cause, listed.issue)
 		case "pass":
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -34,58 +34,58 @@
 	}
 }
 
-func TestGroups(t *testing.T) {
-	divided := groups([]string{"-race", "./a", "--", "./b"})
-	if len(divided) != 2 || strings.Join(divided[0], " ") != "-race ./a" || strings.Join(divided[1], " ") != "./b" {
-		t.Errorf("groups %q", divided)
+func TestSplitArguments(t *testing.T) {
+	runs := splitArguments([]string{"-race", "./a", "--", "./b"})
+	if len(runs) != 2 || strings.Join(runs[0], " ") != "-race ./a" || strings.Join(runs[1], " ") != "./b" {
+		t.Errorf("groups %q", runs)
 	}
 }
 
-// The list that stands beside the module in TestGoTest: m/p.TestRed may fail.
-const listed = "m/p.TestRed; a fault; issue 7\n"
+// listTestRed is the list in TestGoTest that allows m/p.TestRed to fail.
+const listTestRed = "m/p.TestRed; a fault; issue 7\n"
 
-// TestGoTest runs go test itself over small modules and compares what the check says of them.
+// TestGoTest runs go test on small modules and compares the outcome of the check.
 func TestGoTest(t *testing.T) {
-	const red = "func TestRed(t *testing.T) { t.Error(\"red\") }\n"
-	const green = "func TestGreen(t *testing.T) {}\n"
+	const failingTest = "func TestRed(t *testing.T) { t.Error(\"red\") }\n"
+	const passingTest = "func TestGreen(t *testing.T) {}\n"
 	tests := []struct {
 		name, list, source string
 		flags              []string
 		want               string // in the error; empty for none
 	}{
-		{"all green", "", green, nil, ""},
-		{"red, not listed", "", red + green, nil, "TestRed failed"},
-		{"red, listed", listed, red + green, nil, ""},
-		{"listed and passes", listed, "func TestRed(t *testing.T) {}\n", nil, "m/p.TestRed passes: remove its line"},
-		{"listed and skipped", listed, "func TestRed(t *testing.T) { t.Skip() }\n", nil, "m/p.TestRed did not run"},
-		{"listed and gone", listed, green, nil, "m/p.TestRed did not run"},
-		{"another beside it", listed, red + "func TestOther(t *testing.T) { t.Error() }\n", nil, "TestOther failed"},
-		{"a subtest of it", listed, "func TestRed(t *testing.T) { t.Run(\"s\", func(t *testing.T) { t.Error() }) }\n", nil, ""},
+		{"all green", "", passingTest, nil, ""},
+		{"red, not listed", "", failingTest + passingTest, nil, "TestRed failed"},
+		{"red, listed", listTestRed, failingTest + passingTest, nil, ""},
+		{"listed and passes", listTestRed, "func TestRed(t *testing.T) {}\n", nil, "m/p.TestRed passes: remove its line"},
+		{"listed and skipped", listTestRed, "func TestRed(t *testing.T) { t.Skip() }\n", nil, "m/p.TestRed did not run"},
+		{"listed and gone", listTestRed, passingTest, nil, "m/p.TestRed did not run"},
+		{"another beside it", listTestRed, failingTest + "func TestOther(t *testing.T) { t.Error() }\n", nil, "TestOther failed"},
+		{"a subtest of it", listTestRed, "func TestRed(t *testing.T) { t.Run(\"s\", func(t *testing.T) { t.Error() }) }\n", nil, ""},
 		{"listed subtest", "m/p.TestUp/a; c; issue 1", subtests("", "t.Error()", ""), nil, ""},
 		{"another subtest", "m/p.TestUp/a; c; issue 1", subtests("", "t.Error()", "t.Error()"), nil, "TestUp/b failed"},
 		{"parent of a listed subtest", "m/p.TestUp/a; c; issue 1", subtests("t.Error(\"own\")", "t.Error()", ""), nil, "TestUp failed"},
-		{"it panics", listed, "func TestRed(t *testing.T) { panic(\"red\") }\n" + green, nil, "panic: red"},
-		{"another panics", listed, red + "func TestOther(t *testing.T) { panic(\"other\") }\n", nil, "panic: other"},
-		{"it exits", listed, "func TestRed(t *testing.T) { os.Exit(1) }\n", nil, "TestRed did not end"},
-		{"failure after the tests", listed, red + "func TestMain(m *testing.M) { m.Run(); println(\"leaked\"); os.Exit(1) }\n", nil, "wrote outside its tests: leaked"},
-		{"time-out", listed, red + "func TestOther(t *testing.T) { select {} }\n", []string{"-timeout", "1s"}, "timed out"},
-		{"a race", listed, red + raceTest, []string{"-race"}, "DATA RACE"},
-		{"no build", listed, "func TestRed(t *testing.T) { nothing() }\n", nil, "it was not built"},
-		{"no such flag", listed, red, []string{"-p=x"}, "go test: exit status 2"},
-		{"no such package", listed, red, []string{"./nosuch"}, "nosuch"},
+		{"it panics", listTestRed, "func TestRed(t *testing.T) { panic(\"red\") }\n" + passingTest, nil, "panic: red"},
+		{"another panics", listTestRed, failingTest + "func TestOther(t *testing.T) { panic(\"other\") }\n", nil, "panic: other"},
+		{"it exits", listTestRed, "func TestRed(t *testing.T) { os.Exit(1) }\n", nil, "TestRed did not end"},
+		{"failure after the tests", listTestRed, failingTest + "func TestMain(m *testing.M) { m.Run(); println(\"leaked\"); os.Exit(1) }\n", nil, "wrote outside its tests: leaked"},
+		{"time-out", listTestRed, failingTest + "func TestOther(t *testing.T) { select {} }\n", []string{"-timeout", "1s"}, "timed out"},
+		{"a race", listTestRed, failingTest + raceTest, []string{"-race"}, "DATA RACE"},
+		{"no build", listTestRed, "func TestRed(t *testing.T) { nothing() }\n", nil, "it was not built"},
+		{"no such flag", listTestRed, failingTest, []string{"-p=x"}, "go test: exit status 2"},
+		{"no such package", listTestRed, failingTest, []string{"./nosuch"}, "nosuch"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			folder := module(t, tt.source)
+			folder := writeModule(t, tt.source)
 			list, err := parseList(tt.list)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var out bytes.Buffer
 			r := newReport(&out, list)
-			if err = r.goTest(folder, append([]string{"-count=1"}, append(tt.flags, "./p", "./q")...)); err == nil {
-				err = r.verdict()
+			if err = r.runGoTest(folder, append([]string{"-count=1"}, append(tt.flags, "./p", "./q")...)); err == nil {
+				err = r.checkListed()
 			}
 			if tt.want == "" && err != nil || tt.want != "" && (err == nil || !strings.Contains(err.Error(), tt.want)) {
 				t.Errorf("error %v, want %q; printed:\n%s", err, tt.want, out.String())
@@ -93,14 +93,14 @@
 			if tt.want == "" && !strings.Contains(out.String(), "ok  \tm/q\t") {
 				t.Errorf("no result line of the other package; printed:\n%s", out.String())
 			}
-			if tt.list == listed && tt.want == "" && !strings.Contains(out.String(), "KNOWN RED\tm/p.TestRed: a fault (issue 7)") {
+			if tt.list == listTestRed && tt.want == "" && !strings.Contains(out.String(), "KNOWN RED\tm/p.TestRed: a fault (issue 7)") {
 				t.Errorf("the listed failure is not printed:\n%s", out.String())
 			}
 		})
 	}
 }
 
-// raceTest writes from two goroutines with no order between them.
+// raceTest writes a variable from two goroutines without synchronization.
 const raceTest = `func TestOther(t *testing.T) {
 	n, done := 0, make(chan bool)
 	go func() { n++; close(done) }()
@@ -109,19 +109,19 @@
 }
 `
 
-func subtests(own, a, b string) string {
-	return "func TestUp(t *testing.T) {\n" + own + "\nt.Run(\"a\", func(t *testing.T) {" + a + "})\nt.Run(\"b\", func(t *testing.T) {" + b + "})\n}\n"
+func subtests(parentBody, a, b string) string {
+	return "func TestUp(t *testing.T) {\n" + parentBody + "\nt.Run(\"a\", func(t *testing.T) {" + a + "})\nt.Run(\"b\", func(t *testing.T) {" + b + "})\n}\n"
 }
 
-// module writes a module of two packages, p with the source and q with a test that passes, and returns its folder.
-func module(t *testing.T, source string) string {
+// writeModule writes a module of two packages, p with source and q with a passing test, and returns its directory.
+func writeModule(t *testing.T, source string) string {
 	t.Helper()
-	const head = "import (\n\t\"os\"\n\t\"testing\"\n)\n\nvar _ = os.Exit\n\n"
+	const imports = "import (\n\t\"os\"\n\t\"testing\"\n)\n\nvar _ = os.Exit\n\n"
 	folder := t.TempDir()
 	files := map[string]string{
 		"go.mod":      "module m\n\ngo 1.26\n",
-		"p/p_test.go": "package p\n\n" + head + source,
-		"q/q_test.go": "package q\n\n" + head + "func TestQ(t *testing.T) {}\n",
+		"p/p_test.go": "package p\n\n" + imports + source,
+		"q/q_test.go": "package q\n\n" + imports + "func TestQ(t *testing.T) {}\n",
 	}
 	for path, text := range files {
 		path = filepath.Join(folder, path)
