--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -19,13 +19,13 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			faults, err := program.Check(args[0])
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			for _, f := range faults {
 				fmt.Fprintln(a.stdout, f)
 			}
 			if len(faults) > 0 {
-				return wrong(fmt.Errorf("%s: %d faults", args[0], len(faults)))
+				return failure(fmt.Errorf("%s: %d faults", args[0], len(faults)))
 			}
 			fmt.Fprintf(a.stdout, "%s: no faults\n", args[0])
 			return nil
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is burlpass's command line: sub-commands, flags, help and exit codes. What the commands do is in the
-// packages below.
+// Package cli implements the command line of burlpass: subcommands, flags, help and exit codes. The work of each command is
+// done by other packages. A day is one run of a scenario.
 package cli
 
 import (
@@ -24,41 +24,41 @@
 
 // The exit codes of every sub-command.
 const (
-	ExitOK    = 0 // done
-	ExitWrong = 1 // the command ran and found something wrong, or could not go on
-	ExitUsage = 2 // the command line itself is wrong; nothing was done
+	ExitOK      = 0 // success
+	ExitFailure = 1 // the command found a fault or could not continue
+	ExitUsage   = 2 // the command line is invalid; nothing was run
 )
 
-// failure is an error with the exit code that it ends the program with.
-type failure struct {
+// exitError is an error that ends the program with the given exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f *failure) Error() string { return f.err.Error() }
-func (f *failure) Unwrap() error { return f.err }
+func (f *exitError) Error() string { return f.err.Error() }
+func (f *exitError) Unwrap() error { return f.err }
 
-func wrong(err error) error {
+func failure(err error) error {
 	if err == nil {
 		return nil
 	}
-	return &failure{ExitWrong, err}
+	return &exitError{ExitFailure, err}
 }
 
-// app is what the commands share.
+// app holds the output streams and options that all commands share.
 type app struct {
 	getenv         func(string) string
 	stdout, stderr io.Writer
 	logFormat      string
 	logLevel       string
-	config         string // of serve
-	trace          bool
+	configPath     string // --config of serve
+	traceDecisions bool
 }
 
-// Main runs the command line and returns the exit code. With no arguments it serves.
+// Main runs the command line and returns the exit code. Without arguments it runs serve.
 func Main(args []string, getenv func(string) string, stdout, stderr io.Writer) int {
 	a := &app{getenv: getenv, stdout: stdout, stderr: stderr}
-	root := a.root()
+	root := a.rootCommand()
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
@@ -67,14 +67,14 @@
 		return ExitOK
 	}
 	fmt.Fprintln(stderr, "burlpass:", err)
-	var f *failure
-	if errors.As(err, &f) {
-		return f.code
+	var exit *exitError
+	if errors.As(err, &exit) {
+		return exit.code
 	}
 	return ExitUsage
 }
 
-func (a *app) root() *cobra.Command {
+func (a *app) rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "burlpass",
 		Short: "A client-side load-balancing sidecar, and the laboratory that it is proved in",
@@ -94,7 +94,7 @@
 	flags := root.PersistentFlags()
 	flags.StringVar(&a.logFormat, "log-format", "text", "form of the log on standard error: text (key=value) or json")
 	flags.StringVar(&a.logLevel, "log-level", "info", "least level that is logged: debug, info, warn or error")
-	flags.BoolVar(&a.trace, "trace", false, "also log what the decision module is told and chooses, for burlpass lab count")
+	flags.BoolVar(&a.traceDecisions, "trace", false, "also log what the decision module is told and chooses, for burlpass lab count")
 	serve := &cobra.Command{
 		Use:   "serve",
 		Short: "Run one sidecar until SIGTERM",
@@ -106,17 +106,17 @@
 		Args: cobra.NoArgs,
 		RunE: a.serve,
 	}
-	serve.Flags().StringVar(&a.config, "config", "", "configuration file, TOML or the platform's JSON")
-	root.AddCommand(serve, a.versionCommand(), a.checkCommand(), a.labCommand(), a.simCommand(), a.docsCommand())
+	serve.Flags().StringVar(&a.configPath, "config", "", "configuration file, TOML or the platform's JSON")
+	root.AddCommand(serve, a.versionCommand(), a.checkCommand(), a.labCommand(), a.simCommand(), a.keysCommand())
 	return root
 }
 
-func (a *app) logger() (*slog.Logger, error) {
-	o := logging.Options{Format: a.logFormat}
-	if err := o.Level.UnmarshalText([]byte(a.logLevel)); err != nil {
+func (a *app) newLogger() (*slog.Logger, error) {
+	options := logging.Options{Format: a.logFormat}
+	if err := options.Level.UnmarshalText([]byte(a.logLevel)); err != nil {
 		return nil, fmt.Errorf("--log-level %q: debug, info, warn or error is expected", a.logLevel)
 	}
-	log, err := logging.New(a.stderr, o)
+	log, err := logging.New(a.stderr, options)
 	if err != nil {
 		return nil, fmt.Errorf("--log-format: %w", err)
 	}
@@ -125,39 +125,39 @@
 
 func (a *app) serve(*cobra.Command, []string) error { return a.serveOn(transport.System{}) }
 
-// serveOn runs one sidecar on a network until a signal ends it.
+// serveOn runs one sidecar on network until a signal stops it.
 func (a *app) serveOn(network transport.Network) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	log, err := a.logger()
+	log, err := a.newLogger()
 	if err != nil {
 		return err
 	}
-	config, err := a.load()
+	config, err := a.loadConfig()
 	if err != nil {
-		return wrong(err)
+		return failure(err)
 	}
-	if a.trace {
-		w := &trace.Writer{W: a.stderr}
+	if a.traceDecisions {
+		writer := &trace.Writer{W: a.stderr}
 		config.Decide.Marks = true
-		w.Start(time.Now().UnixMicro(), &config.Decide)
+		writer.Start(time.Now().UnixMicro(), &config.Decide)
 		config.Trace = func(now time.Duration, e decide.Event, actions []decide.Action, name func(decide.ServerID) string) {
-			w.Event(now.Microseconds(), &e, actions, name)
+			writer.Event(now.Microseconds(), &e, actions, name)
 		}
 	}
 	config.Limits.Apply()
 	sidecar, err := program.New(network, config, log)
 	if err != nil {
-		return wrong(err)
+		return failure(err)
 	}
 	sidecar.Run(signals)
 	return nil
 }
 
-func (a *app) load() (*program.Config, error) {
-	if a.config != "" {
-		return program.LoadFile(a.config)
+func (a *app) loadConfig() (*program.Config, error) {
+	if a.configPath != "" {
+		return program.LoadFile(a.configPath)
 	}
 	return program.Load(a.getenv)
 }
@@ -171,15 +171,15 @@
 		RunE: func(*cobra.Command, []string) error {
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
-				return wrong(errors.New("this program holds no build information"))
+				return failure(errors.New("this program holds no build information"))
 			}
-			of := map[string]string{}
-			for _, s := range info.Settings {
-				of[s.Key] = s.Value
+			buildSettings := map[string]string{}
+			for _, setting := range info.Settings {
+				buildSettings[setting.Key] = setting.Value
 			}
 			fmt.Fprintf(a.stdout, "burlpass %s\n", info.Main.Version)
-			for _, line := range [][2]string{{"revision", of["vcs.revision"]}, {"time", of["vcs.time"]},
-				{"modified", of["vcs.modified"]}, {"go", info.GoVersion}, {"platform", of["GOOS"] + "/" + of["GOARCH"]}} {
+			for _, line := range [][2]string{{"revision", buildSettings["vcs.revision"]}, {"time", buildSettings["vcs.time"]},
+				{"modified", buildSettings["vcs.modified"]}, {"go", info.GoVersion}, {"platform", buildSettings["GOOS"] + "/" + buildSettings["GOARCH"]}} {
 				if line[1] != "" {
 					fmt.Fprintf(a.stdout, "%-9s %s\n", line[0], line[1])
 				}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -14,13 +14,13 @@
 	"burlpass/internal/program"
 )
 
-func run(args ...string) (code int, stdout, stderr string) {
+func runCommand(args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = Main(args, func(string) string { return "" }, &out, &err)
 	return code, out.String(), err.String()
 }
 
-// Exit codes mean something, and what is wrong is one clear line.
+// Each command line ends with the documented exit code and names the fault in its output.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("name = \"x\"\nworkers = 0\nfaults = 3\n"), 0o600); err != nil {
@@ -31,33 +31,33 @@
 		stdout string
 		stderr string
 	}{
-		"":                                     {ExitWrong, "", "burlpass: EDGE_NAME: missing\n"},
+		"":                                     {ExitFailure, "", "burlpass: EDGE_NAME: missing\n"},
 		"serve --log-format xml":               {ExitUsage, "", "xml"},
 		"serve --log-level loud":               {ExitUsage, "", "loud"},
-		"serve --config /nowhere.toml":         {ExitWrong, "", "/nowhere.toml"},
+		"serve --config /nowhere.toml":         {ExitFailure, "", "/nowhere.toml"},
 		"serve now":                            {ExitUsage, "", "now"},
 		"srve":                                 {ExitUsage, "", "srve"},
 		"version":                              {ExitOK, "go1.", ""},
 		"check":                                {ExitUsage, "", "accepts 1 arg"},
 		"check ../../docs/config.example.toml": {ExitOK, "no faults", ""},
-		"check " + bad:                         {ExitWrong, ":3:1: faults: unknown key", "faults"},
-		"lab run " + bad:                       {ExitWrong, "", bad + ":2:1: workers: 0 is out of range"},
+		"check " + bad:                         {ExitFailure, ":3:1: faults: unknown key", "faults"},
+		"lab run " + bad:                       {ExitFailure, "", bad + ":2:1: workers: 0 is out of range"},
 		"lab run ../../scenarios/calm.toml --build /nowhere":         {ExitUsage, "", "/nowhere"},
 		"lab compare self reference:magic ../../scenarios/calm.toml": {ExitUsage, "", "round-robin"},
 		"lab compare self self ../../scenarios/calm.toml --seeds 0":  {ExitUsage, "", "--seeds"},
 		"lab list ../../scenarios":                                   {ExitOK, "small-day", ""},
-		"lab list /nowhere":                                          {ExitWrong, "", "no scenario"},
-		"lab report /nowhere.json":                                   {ExitWrong, "", "/nowhere.json"},
+		"lab list /nowhere":                                          {ExitFailure, "", "no scenario"},
+		"lab report /nowhere.json":                                   {ExitFailure, "", "/nowhere.json"},
 		"completion bash":                                            {ExitOK, "complete", ""},
 	} {
-		code, stdout, stderr := run(strings.Fields(line)...)
+		code, stdout, stderr := runCommand(strings.Fields(line)...)
 		if code != want.code || !strings.Contains(stdout, want.stdout) || !strings.Contains(stderr, want.stderr) {
 			t.Errorf("burlpass %s: code %d, stdout %.300q, stderr %.300q", line, code, stdout, stderr)
 		}
 	}
 }
 
-// Every command says what it does and shows an example.
+// Every command has a short help text and an example.
 func TestHelp(t *testing.T) {
 	var walk func(c *cobra.Command)
 	walk = func(c *cobra.Command) {
@@ -68,10 +68,10 @@
 			walk(sub)
 		}
 	}
-	walk((&app{}).root())
+	walk((&app{}).rootCommand())
 }
 
-// Every key of the code is on the reference page, with its type, default and range, and no other.
+// The reference page contains the key tables exactly as the code generates them.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
--- a/internal/cli/day_test.go
+++ b/internal/cli/day_test.go
@@ -16,8 +16,8 @@
 	"burlpass/internal/lab/report"
 )
 
-// program builds burlpass as it ships, without the race detector.
-func buildProgram(t *testing.T) string {
+// buildBurlpass builds the program without the race detector, as it is released.
+func buildBurlpass(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "burlpass")
 	if out, err := exec.Command("go", "build", "-o", path, "burlpass/cmd/burlpass").CombinedOutput(); err != nil {
@@ -40,28 +40,28 @@
 	return day
 }
 
-// A small day, whole, with the program as it ships: the rules are kept, nearly everything is served, the hung worker is
-// found, and every report is written. Three runs go side by side on one machine and do not meet.
+// Plays a whole small day with the released program: no rule is broken, nearly all requests are served, the hung worker is
+// detected, and all reports are written. Three days run in parallel on one machine without interfering.
 func TestSmallDay(t *testing.T) {
-	program := buildProgram(t)
+	program := buildBurlpass(t)
 	for seed := 1; seed <= 3; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			kept, page := filepath.Join(dir, "day.json"), filepath.Join(dir, "day.html")
+			reportPath, pagePath := filepath.Join(dir, "day.json"), filepath.Join(dir, "day.html")
 			var out []byte
-			for again := range 6 { // a breach on a day on which the laboratory ran late proves nothing
+			for attempt := range 6 { // a broken rule proves nothing if the laboratory ran late
 				var err error
 				out, err = exec.Command(program, "lab", "run", "../../scenarios/small-day.toml", "--seed", strconv.Itoa(seed),
-					"--json", kept, "--html", page).CombinedOutput()
+					"--json", reportPath, "--html", pagePath).CombinedOutput()
 				if err == nil || bytes.Contains(out, []byte("VOID")) && !bytes.Contains(out, []byte("BROKEN")) {
 					break
 				}
-				if !bytes.Contains(out, []byte("VOID")) || again == 5 {
+				if !bytes.Contains(out, []byte("VOID")) || attempt == 5 {
 					t.Fatalf("%v\n%s", err, out)
 				}
 			}
-			day := readDay(t, kept)
+			day := readDay(t, reportPath)
 			r := day.Result.Report
 			if r.Calls < 100 || r.Worth < 0.8 || r.G <= 0 || len(r.Violations) > 0 {
 				t.Errorf("%d calls, worth %v, figure %v, broken %v", r.Calls, r.Worth, r.G, r.Violations)
@@ -69,46 +69,46 @@
 			if len(r.Belief.Notice) != 1 || r.Belief.Notice[0].To-r.Belief.Notice[0].From < 2 {
 				t.Errorf("failures seen: %+v, one hang of 3 s was played", r.Belief.Notice)
 			}
-			html, err := os.ReadFile(page)
+			html, err := os.ReadFile(pagePath)
 			if err != nil || !bytes.Contains(html, []byte("<svg")) || bytes.Contains(html, []byte("src=")) || bytes.Contains(html, []byte("href=\"http")) {
 				t.Errorf("the page is not one whole file: %v", err)
 			}
-			if again, err := exec.Command(program, "lab", "report", kept, kept).CombinedOutput(); err != nil || !bytes.Contains(again, []byte("worst class")) {
+			if again, err := exec.Command(program, "lab", "report", reportPath, reportPath).CombinedOutput(); err != nil || !bytes.Contains(again, []byte("worst class")) {
 				t.Errorf("read again: %v\n%s", err, again)
 			}
 		})
 	}
 }
 
-// Ctrl-C leaves no process behind and still writes the report of what was played.
-func TestInterrupted(t *testing.T) {
-	program := buildProgram(t)
+// SIGINT leaves no sidecar process behind, and the report of the part that was played is still written.
+func TestInterruptStopsSidecars(t *testing.T) {
+	program := buildBurlpass(t)
 	dir := t.TempDir()
 	logs := filepath.Join(dir, "logs")
-	kept := filepath.Join(dir, "day.json")
-	c := exec.Command(program, "lab", "run", "../../scenarios/hall-loss.toml", "--json", kept, "--logs", logs)
+	reportPath := filepath.Join(dir, "day.json")
+	c := exec.Command(program, "lab", "run", "../../scenarios/hall-loss.toml", "--json", reportPath, "--logs", logs)
 	var out bytes.Buffer
 	c.Stdout, c.Stderr = &out, &out
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) { // until every sidecar takes part
+	for started := time.Now(); ; time.Sleep(10 * time.Millisecond) { // until every sidecar has started
 		if ready, _ := filepath.Glob(filepath.Join(logs, "*.log")); len(ready) == 4 {
 			break
 		}
-		if time.Since(begun) > 30*time.Second {
+		if time.Since(started) > 30*time.Second {
 			c.Process.Kill()
 			t.Fatalf("no sidecar came up\n%s", out.String())
 		}
 	}
-	time.Sleep(time.Second) // some of the day
+	time.Sleep(time.Second) // play part of the day
 	c.Process.Signal(os.Interrupt)
 	err := c.Wait()
 	var exit *exec.ExitError
 	if err != nil && !(errors.As(err, &exit) && strings.Contains(out.String(), "VOID")) {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	if day := readDay(t, kept); !day.Result.Cut || len(day.Result.Report.Violations) > 0 {
+	if day := readDay(t, reportPath); !day.Result.Cut || len(day.Result.Report.Violations) > 0 {
 		t.Errorf("cut %v, broken %v", day.Result.Cut, day.Result.Report.Violations)
 	}
 	configs, _ := filepath.Glob(filepath.Join(logs, "*.json"))
--- a/internal/cli/docs.go
+++ b/internal/cli/docs.go
@@ -10,8 +10,8 @@
 	"burlpass/internal/program"
 )
 
-// docsCommand prints the tables of docs/configuration.md from the code.
-func (a *app) docsCommand() *cobra.Command {
+// keysCommand prints the reference tables that docs/configuration.md contains.
+func (a *app) keysCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "keys",
 		Short:   "Print every key of the configuration and of scenarios, with type, default and range",
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -23,34 +23,36 @@
 	"burlpass/internal/lab/world"
 )
 
-// fleetDay is one seed of a scenario as lab fleet writes it, for another build to be set against.
+// fleetDay is the result for one seed of a scenario. lab fleet writes it as JSON, so that another build can be compared with it.
 type fleetDay struct {
 	Scenario string        `json:"scenario"`
 	Seed     uint64        `json:"seed"`
 	Sidecars int           `json:"sidecars"`
-	Skew     string        `json:"skew,omitempty"` // as --skew has it; empty: the scenario's
+	Skew     string        `json:"skew,omitempty"` // value of --skew; empty for the scenario's own
 	Result   *fleet.Result `json:"result"`
 
-	scenario *scenario.Scenario
-	beside   *fleet.Result // of round robin, with --classes
+	scenario   *scenario.Scenario
+	roundRobin *fleet.Result // result with round robin; set with --classes only
 }
 
-// sameGroup tells whether two days differ in their seed alone.
-func sameGroup(d, x *fleetDay) bool {
-	return d.Scenario == x.Scenario && d.Sidecars == x.Sidecars && d.Skew == x.Skew
+// sameExceptSeed reports whether two days agree in everything but the seed, which is not compared.
+func sameExceptSeed(d, other *fleetDay) bool {
+	return d.Scenario == other.Scenario && d.Sidecars == other.Sidecars && d.Skew == other.Skew
 }
 
-// same tells whether two days are one day of two builds.
-func (d *fleetDay) same(x *fleetDay) bool { return d.Seed == x.Seed && sameGroup(d, x) }
+// comparableTo reports whether two builds played the same day.
+func (d *fleetDay) comparableTo(other *fleetDay) bool {
+	return d.Seed == other.Seed && sameExceptSeed(d, other)
+}
 
-func (a *app) labFleet() *cobra.Command {
+func (a *app) labFleetCommand() *cobra.Command {
 	var seeds, first uint64
 	var sidecars []int
 	var skews []string
 	var rate float64
 	var jsonFile, against string
 	var workers, cold, classes bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "fleet SCENARIO...",
 		Short: "Play a large fleet of this build's decision modules on virtual time and count across it",
 		Long: `Plays each seed of each scenario with an instance of the decision module for each sidecar, over the laboratory's
@@ -74,69 +76,69 @@
 			if against != "" {
 				text, err := os.ReadFile(against)
 				if err != nil {
-					return wrong(err)
+					return failure(err)
 				}
 				if err := json.Unmarshal(text, &before); err != nil {
-					return wrong(fmt.Errorf("%s: %w", against, err))
+					return failure(fmt.Errorf("%s: %w", against, err))
 				}
 			}
 			var days []fleetDay
 			for _, path := range args {
 				s, err := scenario.Load(path)
 				if err != nil {
-					return wrong(faults(a, err))
+					return failure(printLeadingFaults(a, err))
 				}
 				if rate > 0 {
 					s.Clients.Rate = rate
 				}
-				more, err := drawFleet(s, sidecars, skews, first, seeds)
+				more, err := expandDays(s, sidecars, skews, first, seeds)
 				if err != nil {
 					return err
 				}
 				days = append(days, more...)
 			}
-			if err := playFleet(days, classes); err != nil {
-				return wrong(err)
+			if err := playDays(days, classes); err != nil {
+				return failure(err)
 			}
 			switch {
 			case cold:
-				coldTable(a.stdout, days)
+				printColdTable(a.stdout, days)
 			case classes:
-				classTable(a.stdout, days)
+				printClassTable(a.stdout, days)
 			default:
-				fleetTable(a.stdout, days, workers)
+				printFleetTable(a.stdout, days, workers)
 			}
 			if against != "" {
-				fleetAgainst(a.stdout, before, days)
+				printFleetComparison(a.stdout, before, days)
 			}
-			if err := write(jsonFile, func(w io.Writer) error { return json.NewEncoder(w).Encode(days) }); err != nil {
-				return wrong(err)
+			if err := writeFile(jsonFile, func(w io.Writer) error { return json.NewEncoder(w).Encode(days) }); err != nil {
+				return failure(err)
 			}
 			for _, d := range days {
 				if v := d.Result.Report.Violations; len(v) > 0 {
-					return wrong(fmt.Errorf("%s seed %d: %d rules broken, first: %v", d.Scenario, d.Seed, len(v)+d.Result.Report.MoreBroken, v[0]))
+					return failure(fmt.Errorf("%s seed %d: %d rules broken, first: %v", d.Scenario, d.Seed, len(v)+d.Result.Report.MoreBroken, v[0]))
 				}
 			}
 			return nil
 		},
 	}
-	f := c.Flags()
-	f.Uint64Var(&seeds, "seeds", 3, "how many seeds of each scenario")
-	f.Uint64Var(&first, "first-seed", 1, "the first of them")
-	f.IntSliceVar(&sidecars, "sidecars", nil, "numbers of sidecars in place of the scenario's; the calls in all stay the same")
-	f.StringSliceVar(&skews, "skew", nil, "values in place of clients.skew; 0: all sidecars of all halls get as many calls")
-	f.Float64Var(&rate, "rate", 0, "calls a second in all, in place of the scenario's")
-	f.StringVar(&jsonFile, "json", "", "write the days as JSON to this file")
-	f.StringVar(&against, "against", "", "days that another build wrote with --json, to be compared with")
-	f.BoolVar(&workers, "workers", false, "also print the counts of each worker")
-	f.BoolVar(&cold, "cold", false, "print how near cold workers came to what they may get")
-	f.BoolVar(&classes, "classes", false, "print each class's served share beside that of round robin")
-	c.MarkFlagsMutuallyExclusive("cold", "classes", "workers")
-	return c
+	flags := command.Flags()
+	flags.Uint64Var(&seeds, "seeds", 3, "how many seeds of each scenario")
+	flags.Uint64Var(&first, "first-seed", 1, "the first of them")
+	flags.IntSliceVar(&sidecars, "sidecars", nil, "numbers of sidecars in place of the scenario's; the calls in all stay the same")
+	flags.StringSliceVar(&skews, "skew", nil, "values in place of clients.skew; 0: all sidecars of all halls get as many calls")
+	flags.Float64Var(&rate, "rate", 0, "calls a second in all, in place of the scenario's")
+	flags.StringVar(&jsonFile, "json", "", "write the days as JSON to this file")
+	flags.StringVar(&against, "against", "", "days that another build wrote with --json, to be compared with")
+	flags.BoolVar(&workers, "workers", false, "also print the counts of each worker")
+	flags.BoolVar(&cold, "cold", false, "print how near cold workers came to what they may get")
+	flags.BoolVar(&classes, "classes", false, "print each class's served share beside that of round robin")
+	command.MarkFlagsMutuallyExclusive("cold", "classes", "workers")
+	return command
 }
 
-// drawFleet lists the days of a scenario: each number of sidecars with each skew and seed.
-func drawFleet(s *scenario.Scenario, sidecars []int, skews []string, first, seeds uint64) (days []fleetDay, err error) {
+// expandDays returns one day for each combination of sidecar count, skew and seed.
+func expandDays(s *scenario.Scenario, sidecars []int, skews []string, first, seeds uint64) (days []fleetDay, err error) {
 	if len(sidecars) == 0 {
 		sidecars = []int{s.Sidecars}
 	}
@@ -145,29 +147,29 @@
 	}
 	for _, n := range sidecars {
 		for _, skew := range skews {
-			x := *s
-			if x.Sidecars = n; n < 1 {
+			variant := *s
+			if variant.Sidecars = n; n < 1 {
 				return nil, fmt.Errorf("--sidecars: %d: at least 1 is expected", n)
 			}
 			if skew != "" {
-				if x.Clients.Skew, err = strconv.ParseFloat(skew, 64); err != nil || !(x.Clients.Skew >= 0 && x.Clients.Skew <= 3) {
+				if variant.Clients.Skew, err = strconv.ParseFloat(skew, 64); err != nil || !(variant.Clients.Skew >= 0 && variant.Clients.Skew <= 3) {
 					return nil, fmt.Errorf("--skew: %q: a number from 0 to 3 is expected", skew)
 				}
-				if x.Clients.Skew == 0 {
-					x.Traffic = nil
+				if variant.Clients.Skew == 0 {
+					variant.Traffic = nil
 				}
 			}
 			for seed := first; seed < first+seeds; seed++ {
-				days = append(days, fleetDay{Scenario: s.Name, Seed: seed, Sidecars: n, Skew: skew, scenario: &x})
+				days = append(days, fleetDay{Scenario: s.Name, Seed: seed, Sidecars: n, Skew: skew, scenario: &variant})
 			}
 		}
 	}
 	return days, nil
 }
 
-// playFleet plays the days on all cores; each is by itself and the same whatever the others do. beside plays them with
-// round robin as well.
-func playFleet(days []fleetDay, beside bool) error {
+// playDays plays the days in parallel on all cores; their results do not depend on each other. With withRoundRobin each day is
+// played a second time with round robin.
+func playDays(days []fleetDay, withRoundRobin bool) error {
 	next := make(chan int)
 	errs := make([]error, len(days))
 	var group sync.WaitGroup
@@ -175,9 +177,9 @@
 		group.Go(func() {
 			for i := range next {
 				d := &days[i]
-				p := world.Draw(d.scenario, d.Seed)
-				if d.Result, errs[i] = fleet.Play(p, nil); beside && errs[i] == nil {
-					d.beside, errs[i] = fleet.PlayWith(p, nil, func(c decide.Config, seed uint64) fleet.Policy { return reference.NewRotation(c, seed) })
+				plan := world.Draw(d.scenario, d.Seed)
+				if d.Result, errs[i] = fleet.Play(plan, nil); withRoundRobin && errs[i] == nil {
+					d.roundRobin, errs[i] = fleet.PlayWith(plan, nil, func(c decide.Config, seed uint64) fleet.Policy { return reference.NewRotation(c, seed) })
 				}
 			}
 		})
@@ -190,17 +192,17 @@
 	return errors.Join(errs...)
 }
 
-// fleetFigure is one thing that is counted of a day.
-type fleetFigure struct {
-	name string
-	of   func(*fleet.Result) float64
+// fleetMetric is a named metric of a day.
+type fleetMetric struct {
+	name  string
+	value func(*fleet.Result) float64
 }
 
-func fleetFigures() []fleetFigure {
+func fleetMetrics() []fleetMetric {
 	count := func(f func(*fleet.Counts) int) func(*fleet.Result) float64 {
 		return func(r *fleet.Result) float64 { return float64(f(&r.Counts)) }
 	}
-	return []fleetFigure{
+	return []fleetMetric{
 		{"figure", func(r *fleet.Result) float64 { return r.Report.G }},
 		{"worth", func(r *fleet.Result) float64 { return r.Report.Worth }},
 		{"worst 10 s", func(r *fleet.Result) float64 { return r.Report.Worst }},
@@ -230,35 +232,35 @@
 	}
 }
 
-// fleetTable prints a row a day and the mean of each scenario.
-func fleetTable(w io.Writer, days []fleetDay, workers bool) {
+// printFleetTable prints one row per day, then the mean of each run of days that differ in their seed only.
+func printFleetTable(w io.Writer, days []fleetDay, workers bool) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	figures := fleetFigures()
+	metrics := fleetMetrics()
 	fmt.Fprint(t, "scenario\tseed\tsidecars\t")
-	for _, f := range figures {
+	for _, f := range metrics {
 		fmt.Fprint(t, f.name, "\t")
 	}
 	fmt.Fprintln(t)
 	var values [][]float64
 	for i, d := range days {
 		fmt.Fprintf(t, "%s\t%d\t%d\t", d.Scenario, d.Seed, d.Sidecars)
-		row := make([]float64, len(figures))
-		for j, f := range figures {
-			row[j] = f.of(d.Result)
-			fmt.Fprint(t, shortNumber(row[j]), "\t")
+		row := make([]float64, len(metrics))
+		for j, f := range metrics {
+			row[j] = f.value(d.Result)
+			fmt.Fprint(t, formatNumber(row[j]), "\t")
 		}
 		fmt.Fprintln(t)
 		values = append(values, row)
-		if i+1 < len(days) && sameGroup(&days[i+1], &d) {
+		if i+1 < len(days) && sameExceptSeed(&days[i+1], &d) {
 			continue
 		}
 		fmt.Fprintf(t, "%s\tmean\t%d\t", d.Scenario, d.Sidecars)
-		for j := range figures {
+		for j := range metrics {
 			sum := 0.0
 			for _, v := range values {
 				sum += v[j]
 			}
-			fmt.Fprint(t, shortNumber(sum/float64(len(values))), "\t")
+			fmt.Fprint(t, formatNumber(sum/float64(len(values))), "\t")
 		}
 		fmt.Fprintln(t)
 		values = nil
@@ -278,26 +280,26 @@
 	}
 }
 
-func shortNumber(x float64) string {
+func formatNumber(x float64) string {
 	if x == float64(int64(x)) || x >= 100 {
 		return fmt.Sprintf("%.0f", x)
 	}
 	return fmt.Sprintf("%.3f", x)
 }
 
-// fleetAgainst prints the paired differences, this build less the other.
-func fleetAgainst(w io.Writer, before, days []fleetDay) {
+// printFleetComparison prints the paired differences, this build minus the other.
+func printFleetComparison(w io.Writer, before, days []fleetDay) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\nThis build less the other, in pairs of scenario and seed:")
 	fmt.Fprintln(t, "figure\tbefore\tnow\tdifference\t95% low\thigh\tpairs\t")
-	for _, f := range fleetFigures() {
+	for _, f := range fleetMetrics() {
 		var old, now, diff []float64
 		for _, d := range days {
-			i := slices.IndexFunc(before, func(b fleetDay) bool { return b.same(&d) })
+			i := slices.IndexFunc(before, func(b fleetDay) bool { return b.comparableTo(&d) })
 			if i < 0 || before[i].Result == nil {
 				continue
 			}
-			x, y := f.of(before[i].Result), f.of(d.Result)
+			x, y := f.value(before[i].Result), f.value(d.Result)
 			old, now, diff = append(old, x), append(now, y), append(diff, y-x)
 		}
 		if len(diff) == 0 {
@@ -305,7 +307,7 @@
 			return
 		}
 		low, high := experiment.Bootstrap(diff, 1)
-		fmt.Fprintf(t, "%s\t%s\t%s\t%+.3f\t%+.3f\t%+.3f\t%d\t\n", f.name, shortNumber(stat.Mean(old, nil)), shortNumber(stat.Mean(now, nil)),
+		fmt.Fprintf(t, "%s\t%s\t%s\t%+.3f\t%+.3f\t%+.3f\t%d\t\n", f.name, formatNumber(stat.Mean(old, nil)), formatNumber(stat.Mean(now, nil)),
 			stat.Mean(diff, nil), low, high, len(diff))
 	}
 	t.Flush()
--- a/internal/cli/fleet_cold.go
+++ b/internal/cli/fleet_cold.go
@@ -13,10 +13,10 @@
 	"burlpass/internal/lab/judge"
 )
 
-// groups cuts days into runs that differ in their seed alone.
-func groups(days []fleetDay) (out [][]fleetDay) {
+// groupDays splits days into runs of adjacent days that differ in their seed only.
+func groupDays(days []fleetDay) (out [][]fleetDay) {
 	for i := range days {
-		if i == 0 || !sameGroup(&days[i-1], &days[i]) {
+		if i == 0 || !sameExceptSeed(&days[i-1], &days[i]) {
 			out = append(out, nil)
 		}
 		out[len(out)-1] = append(out[len(out)-1], days[i])
@@ -24,46 +24,46 @@
 	return out
 }
 
-// peaks is a ratio over a group of days: its distribution, and where the greatest was.
-type peaks struct {
-	ratios []float64
-	top    judge.ColdPeak
-	seed   uint64
+// peakStats collects the ratio of used to allowed work over a group of days, and the day with the highest ratio.
+type peakStats struct {
+	ratios  []float64
+	highest judge.ColdPeak
+	seed    uint64
 }
 
-func (p *peaks) add(x judge.ColdPeak, seed uint64) {
-	if p.ratios = append(p.ratios, x.Ratio); x.Ratio > p.top.Ratio {
-		p.top, p.seed = x, seed
+func (p *peakStats) add(peak judge.ColdPeak, seed uint64) {
+	if p.ratios = append(p.ratios, peak.Ratio); peak.Ratio > p.highest.Ratio {
+		p.highest, p.seed = peak, seed
 	}
 }
 
-func (p *peaks) at(share float64) float64 {
+func (p *peakStats) quantile(share float64) float64 {
 	slices.Sort(p.ratios)
 	return stat.Quantile(share, stat.Empirical, p.ratios, nil)
 }
 
-// coldTable prints how near cold workers came to their budget: the greatest part used on a day, over the days, by all
-// sidecars and by those told of the start.
-func coldTable(w io.Writer, days []fleetDay) {
+// printColdTable prints how much of their budget cold workers received: the distribution over days of the highest ratio of a
+// day, for all sidecars and for those informed of the start.
+func printColdTable(w io.Writer, days []fleetDay) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "scenario\tsidecars\tskew\tdays\tstarts\tworth\tall 50%\t95%\tmost\ttold 50%\t95%\tmost\tby number\tpassed\tof the told\tmost at\t")
-	for _, g := range groups(days) {
-		var all, told peaks
-		number, worth, starts, passed, broken := 0.0, 0.0, 0, 0, 0
-		for _, d := range g {
-			r := d.Result.Report.Cold
-			all.add(r.All, d.Seed)
-			told.add(r.Told, d.Seed)
-			number = max(number, r.Number)
-			worth += d.Result.Report.Worth / float64(len(g))
-			starts, passed, broken = starts+r.Lives, passed+len(r.Passed), broken+r.Broken()
+	for _, group := range groupDays(days) {
+		var all, told peakStats
+		byCount, worth, starts, passed, broken := 0.0, 0.0, 0, 0, 0
+		for _, d := range group {
+			cold := d.Result.Report.Cold
+			all.add(cold.All, d.Seed)
+			told.add(cold.Told, d.Seed)
+			byCount = max(byCount, cold.Number)
+			worth += d.Result.Report.Worth / float64(len(group))
+			starts, passed, broken = starts+cold.Lives, passed+len(cold.Passed), broken+cold.Broken()
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%.3f\t", g[0].Scenario, g[0].Sidecars, cmp.Or(g[0].Skew, "own"), len(g), starts, worth)
-		for _, p := range []*peaks{&all, &told} {
-			fmt.Fprintf(t, "%.2f\t%.2f\t%.2f\t", p.at(0.5), p.at(0.95), p.at(1))
+		fmt.Fprintf(t, "%s\t%d\t%s\t%d\t%d\t%.3f\t", group[0].Scenario, group[0].Sidecars, cmp.Or(group[0].Skew, "own"), len(group), starts, worth)
+		for _, p := range []*peakStats{&all, &told} {
+			fmt.Fprintf(t, "%.2f\t%.2f\t%.2f\t", p.quantile(0.5), p.quantile(0.95), p.quantile(1))
 		}
-		fmt.Fprintf(t, "%.2f\t%d\t%d\tseed %d, w%03d, age %v: %.1f of %.1f\t\n", number, passed, broken, told.seed, told.top.Worker,
-			told.top.Age.Round(time.Millisecond), told.top.Got, told.top.Budget)
+		fmt.Fprintf(t, "%.2f\t%d\t%d\tseed %d, w%03d, age %v: %.1f of %.1f\t\n", byCount, passed, broken, told.seed, told.highest.Worker,
+			told.highest.Age.Round(time.Millisecond), told.highest.Got, told.highest.Budget)
 	}
 	t.Flush()
 	fmt.Fprint(w, `
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// One command plays several sizes and skews of a day, and prints classes in the order that matters.
+// One command plays all combinations of sidecar counts and skews, and prints unsafe classes before keyed and safe ones.
 func TestFleetTables(t *testing.T) {
-	day := filepath.Join(t.TempDir(), "day.toml")
+	scenarioPath := filepath.Join(t.TempDir(), "day.toml")
 	text := "name = \"x\"\nabout = \"y.\"\nlength = \"2s\"\nsidecars = 4\n[[fault]]\nkind = \"replace\"\nat = \"100ms\"\npart = 0.5\n"
-	if err := os.WriteFile(day, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(scenarioPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, out, err := run("lab", "fleet", day, "--cold", "--seeds", "2", "--sidecars", "3,6", "--skew", "0,2")
+	code, out, err := runCommand("lab", "fleet", scenarioPath, "--cold", "--seeds", "2", "--sidecars", "3,6", "--skew", "0,2")
 	lines := strings.Split(out, "\n")
 	if code != ExitOK || len(lines) < 5 {
 		t.Fatalf("code %d: %s%s", code, out, err)
@@ -24,13 +24,13 @@
 			t.Errorf("row %d: %q, want %q", i, got, want)
 		}
 	}
-	code, out, err = run("lab", "fleet", day, "--classes", "--seeds", "1")
+	code, out, err = runCommand("lab", "fleet", scenarioPath, "--classes", "--seeds", "1")
 	if a, b, c := strings.Index(out, "booking"), strings.Index(out, "paid-extra"), strings.Index(out, "availability"); code != ExitOK ||
 		a < 0 || a > b || b > c || strings.Count(out, "worst") != 1 {
 		t.Errorf("code %d: %s%s", code, out, err)
 	}
 	for _, args := range []string{"--skew x", "--skew 4", "--sidecars 0", "--cold --classes"} {
-		if code, _, err := run(append([]string{"lab", "fleet", day}, strings.Fields(args)...)...); code != ExitUsage {
+		if code, _, err := runCommand(append([]string{"lab", "fleet", scenarioPath}, strings.Fields(args)...)...); code != ExitUsage {
 			t.Errorf("%s: code %d, %s", args, code, err)
 		}
 	}
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -30,17 +30,18 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	lab.AddCommand(a.labRun(), a.labCompare(), a.labList(), a.labReport(), a.labFleet(), a.labCount(), a.labSoak(), a.labFailing(), a.referenceCommand())
+	lab.AddCommand(a.labRunCommand(), a.labCompareCommand(), a.labListCommand(), a.labReportCommand(), a.labFleetCommand(), a.labCountCommand(), a.labSoakCommand(), a.labFailingCommand(), a.referenceCommand())
 	return lab
 }
 
-// build is the sidecar that a day is played with.
+// build is the program that runs as the sidecars of a day.
 type build struct {
 	name    string
 	command []string
 }
 
-// parseBuild reads what --build, and the arguments of compare, may say: "self", or a program's path and arguments.
+// parseBuild parses the value of --build or an argument of compare: "self", "reference:POLICY", or a program's path
+// and arguments.
 func parseBuild(text string) (build, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -66,19 +67,19 @@
 	return build{text, append([]string{path}, words[1:]...)}, nil
 }
 
-// interruptible is done at Ctrl-C or SIGTERM; a second one ends the program as usual.
-func interruptible() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that is cancelled by SIGINT or SIGTERM. A second signal terminates the program.
+func interruptContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, cancel)
 	return ctx, cancel
 }
 
-func (a *app) labRun() *cobra.Command {
+func (a *app) labRunCommand() *cobra.Command {
 	var seed uint64
 	var settings []string
-	var program, logs, jsonFile, htmlFile string
+	var buildText, logs, jsonFile, htmlFile string
 	var quiet bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "run SCENARIO",
 		Short: "Play one day and judge it",
 		Long: `Plays one day of a scenario with this program (or --build) as the sidecars.
@@ -87,46 +88,46 @@
   burlpass lab run scenarios/hall-loss.toml --seed 7 --html report.html --json report.json`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			b, err := parseBuild(program)
+			b, err := parseBuild(buildText)
 			if err != nil {
 				return err
 			}
 			s, err := scenario.Load(args[0])
 			if err != nil {
-				return wrong(faults(a, err))
+				return failure(printLeadingFaults(a, err))
 			}
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
-			day, err := a.play(ctx, s, seed, b, settings, logs, quiet)
+			day, err := a.playDay(ctx, s, seed, b, settings, logs, quiet)
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			day.Text(a.stdout)
-			if err := write(jsonFile, day.JSON); err != nil {
-				return wrong(err)
+			if err := writeFile(jsonFile, day.JSON); err != nil {
+				return failure(err)
 			}
-			if err := write(htmlFile, day.HTML); err != nil {
-				return wrong(err)
+			if err := writeFile(htmlFile, day.HTML); err != nil {
+				return failure(err)
 			}
-			return wrong(day.Verdict())
+			return failure(day.Verdict())
 		},
 	}
-	f := c.Flags()
-	f.Uint64Var(&seed, "seed", 1, "what the day is drawn from")
-	f.StringVar(&program, "build", "self", "sidecar to play: self, or a program with its arguments")
-	f.StringArrayVar(&settings, "set", nil, "setting of the sidecars, as path=value; may be repeated")
-	f.StringVar(&logs, "logs", "", "folder for the sidecars' configurations and logs; one that is deleted where empty")
-	f.StringVar(&jsonFile, "json", "", "write the report as JSON to this file")
-	f.StringVar(&htmlFile, "html", "", "write the report as one HTML page to this file")
-	f.BoolVar(&quiet, "quiet", false, "no progress line")
-	return c
+	flags := command.Flags()
+	flags.Uint64Var(&seed, "seed", 1, "what the day is drawn from")
+	flags.StringVar(&buildText, "build", "self", "sidecar to play: self, or a program with its arguments")
+	flags.StringArrayVar(&settings, "set", nil, "setting of the sidecars, as path=value; may be repeated")
+	flags.StringVar(&logs, "logs", "", "folder for the sidecars' configurations and logs; one that is deleted where empty")
+	flags.StringVar(&jsonFile, "json", "", "write the report as JSON to this file")
+	flags.StringVar(&htmlFile, "html", "", "write the report as one HTML page to this file")
+	flags.BoolVar(&quiet, "quiet", false, "no progress line")
+	return command
 }
 
-// mostProcesses is how many sidecars lab run starts.
-const mostProcesses = 200
+// maxSidecarProcesses is the largest number of sidecar processes that a day may start on one machine.
+const maxSidecarProcesses = 200
 
-// play plays one day, with a line of progress on standard error where that is a terminal.
-func (a *app) play(ctx context.Context, s *scenario.Scenario, seed uint64, b build, settings []string, logs string, quiet bool) (*report.Day, error) {
+// playDay plays one day. It shows a progress line on standard error if that is a terminal and quiet is not set.
+func (a *app) playDay(ctx context.Context, s *scenario.Scenario, seed uint64, b build, settings []string, logs string, quiet bool) (*report.Day, error) {
 	dir := logs
 	if dir == "" {
 		temp, err := os.MkdirTemp("", "burlpass-lab-")
@@ -138,8 +139,8 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	if s.Sidecars > mostProcesses {
-		return nil, fmt.Errorf("%s: sidecars: %d processes are too many for one machine, %d at most; lab fleet plays more on virtual time", s.Name, s.Sidecars, mostProcesses)
+	if s.Sidecars > maxSidecarProcesses {
+		return nil, fmt.Errorf("%s: sidecars: %d processes are too many for one machine, %d at most; lab fleet plays more on virtual time", s.Name, s.Sidecars, maxSidecarProcesses)
 	}
 	plan := world.Draw(s, seed)
 	system := &stage.System{Command: b.command, Dir: dir, Sockets: s.Limits.Sockets}
@@ -148,27 +149,27 @@
 		return nil, err
 	}
 	defer release()
-	o := stage.Options{Plan: plan, Block: block, Sockets: system, Sidecars: system, Settings: settings}
-	if !quiet && terminal(a.stderr) {
-		o.Progress = func(p stage.Progress) {
+	options := stage.Options{Plan: plan, Block: block, Sockets: system, Sidecars: system, Settings: settings}
+	if !quiet && isTerminal(a.stderr) {
+		options.Progress = func(p stage.Progress) {
 			fmt.Fprintf(a.stderr, "\r\x1b[K%s %4.1f/%.0f s  tries %d served %d refused %d broken %d  %s", s.Name, p.At.Seconds(),
 				p.Length.Seconds(), p.Calls, p.Served, p.Refused, p.Broken, strings.Join(p.Running, ", "))
 		}
 		defer fmt.Fprint(a.stderr, "\r\x1b[K")
 	}
-	r, err := stage.Run(ctx, o)
+	r, err := stage.Run(ctx, options)
 	if err != nil {
 		return nil, err
 	}
 	return report.NewDay(plan, b.name, r), nil
 }
 
-func terminal(w any) bool {
+func isTerminal(w any) bool {
 	f, ok := w.(*os.File)
 	return ok && term.IsTerminal(int(f.Fd()))
 }
 
-func (a *app) labList() *cobra.Command {
+func (a *app) labListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "list [FOLDER]",
 		Short:   "List the scenarios of a folder, with what each is for",
@@ -184,21 +185,21 @@
 				return err
 			}
 			if len(paths) == 0 {
-				return wrong(fmt.Errorf("no scenario in %s", folder))
+				return failure(fmt.Errorf("no scenario in %s", folder))
 			}
-			bad := 0
+			invalid := 0
 			for _, path := range paths {
 				s, err := scenario.Load(path)
 				if err != nil {
-					bad++
-					faults(a, err)
+					invalid++
+					printLeadingFaults(a, err)
 					continue
 				}
 				fmt.Fprintf(a.stdout, "%-20s %5v  %3d workers %3d sidecars  %s\n", strings.TrimSuffix(filepath.Base(path), ".toml"),
 					s.Length, s.Workers, s.Sidecars, s.About)
 			}
-			if bad > 0 {
-				return wrong(errors.New("a scenario has faults"))
+			if invalid > 0 {
+				return failure(errors.New("a scenario has faults"))
 			}
 			return nil
 		},
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,27 +9,27 @@
 	"burlpass/internal/config"
 )
 
-// write writes a file by way of what makes its text; nothing where the path is empty.
-func write(path string, make func(io.Writer) error) (err error) {
+// writeFile creates the file at path and fills it with writeContent. An empty path writes nothing.
+func writeFile(path string, writeContent func(io.Writer) error) (err error) {
 	if path == "" {
 		return nil
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, f.Close()) }()
-	return make(f)
+	defer func() { err = errors.Join(err, file.Close()) }()
+	return writeContent(file)
 }
 
-// faults prints every fault of a file but the last, which is returned.
-func faults(a *app, err error) error {
+// printLeadingFaults prints all faults in err except the last, and returns the last. Any other error is returned unchanged.
+func printLeadingFaults(a *app, err error) error {
 	var all config.Faults
 	if !errors.As(err, &all) {
 		return err
 	}
-	for _, f := range all[:len(all)-1] {
-		fmt.Fprintln(a.stderr, f)
+	for _, fault := range all[:len(all)-1] {
+		fmt.Fprintln(a.stderr, fault)
 	}
 	return all[len(all)-1]
 }
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -25,7 +25,7 @@
 )
 
 func (a *app) simCommand() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "sim",
 		Short: "Play the whole program on virtual time against faults drawn from seeds",
 		Long: `A simulated day runs the real server, router, pool, parsers and decision module on a network in memory and on
@@ -35,31 +35,31 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(a.simRun(), a.simReplay(), a.simShrink(), a.simList(), a.simMutants())
-	return c
+	command.AddCommand(a.simRunCommand(), a.simReplayCommand(), a.simShrinkCommand(), a.simListCommand(), a.simMutantsCommand())
+	return command
 }
 
-// simulator builds and compiles the guest.
-func (a *app) simulator(ctx context.Context, wasm, overlay string) (*runner.Runner, error) {
-	var text []byte
+// newSimulator loads the guest from the file wasm, or builds it with the overlay, and compiles it.
+func (a *app) newSimulator(ctx context.Context, wasm, overlay string) (*runner.Runner, error) {
+	var guest []byte
 	var err error
 	if wasm != "" {
-		text, err = os.ReadFile(wasm)
+		guest, err = os.ReadFile(wasm)
 	} else {
-		text, err = runner.Build(ctx, ".", overlay)
+		guest, err = runner.Build(ctx, ".", overlay)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return runner.New(ctx, text)
+	return runner.New(ctx, guest)
 }
 
-func (a *app) simRun() *cobra.Command {
+func (a *app) simRunCommand() *cobra.Command {
 	var from, count uint64
-	var workers int
+	var parallel int
 	var wasm, overlay, jsonFile string
-	var keepOn bool
-	c := &cobra.Command{
+	var keepGoing bool
+	command := &cobra.Command{
 		Use:   "run",
 		Short: "Play days drawn from a range of seeds",
 		Long: `Plays the days of a range of seeds on all cores and prints each that breaks a rule, with the command that replays it.
@@ -68,81 +68,81 @@
   burlpass sim run --from 5000 --count 10000 --keep-on`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
-			r, err := a.simulator(ctx, wasm, overlay)
+			r, err := a.newSimulator(ctx, wasm, overlay)
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			defer r.Close(context.Background())
-			outcomes, err := playAll(ctx, r, from, count, workers, func(o *sim.Outcome) bool {
+			outcomes, err := playSeeds(ctx, r, from, count, parallel, func(o *sim.Outcome) bool {
 				if o.Bad() {
 					fmt.Fprintln(a.stdout, o.Summary())
 				}
-				return keepOn || !o.Bad()
+				return keepGoing || !o.Bad()
 			})
-			a.simSummary(outcomes)
+			a.printSimSummary(outcomes)
 			if err != nil && !errors.Is(err, context.Canceled) {
-				return wrong(err)
+				return failure(err)
 			}
-			if err := write(jsonFile, func(w io.Writer) error { return json.NewEncoder(w).Encode(outcomes) }); err != nil {
-				return wrong(err)
+			if err := writeFile(jsonFile, func(w io.Writer) error { return json.NewEncoder(w).Encode(outcomes) }); err != nil {
+				return failure(err)
 			}
-			bad := 0
+			failed := 0
 			for _, o := range outcomes {
 				if o.Bad() {
-					bad++
+					failed++
 				}
 			}
-			if bad > 0 {
-				return wrong(fmt.Errorf("%d of %d days broke a rule; burlpass sim replay SEED shows one", bad, len(outcomes)))
+			if failed > 0 {
+				return failure(fmt.Errorf("%d of %d days broke a rule; burlpass sim replay SEED shows one", failed, len(outcomes)))
 			}
 			return nil
 		},
 	}
-	f := c.Flags()
-	f.Uint64Var(&from, "from", 1, "the first seed")
-	f.Uint64Var(&count, "count", 100, "how many seeds")
-	f.IntVar(&workers, "parallel", runtime.NumCPU(), "days at once")
-	f.StringVar(&wasm, "wasm", "", "a guest compiled before, in place of building one")
-	f.StringVar(&overlay, "overlay", "", "file for go build -overlay: play a changed program")
-	f.StringVar(&jsonFile, "json", "", "write all outcomes as JSON to this file")
-	f.BoolVar(&keepOn, "keep-on", false, "go on after a day that broke a rule")
-	return c
+	flags := command.Flags()
+	flags.Uint64Var(&from, "from", 1, "the first seed")
+	flags.Uint64Var(&count, "count", 100, "how many seeds")
+	flags.IntVar(&parallel, "parallel", runtime.NumCPU(), "days at once")
+	flags.StringVar(&wasm, "wasm", "", "a guest compiled before, in place of building one")
+	flags.StringVar(&overlay, "overlay", "", "file for go build -overlay: play a changed program")
+	flags.StringVar(&jsonFile, "json", "", "write all outcomes as JSON to this file")
+	flags.BoolVar(&keepGoing, "keep-on", false, "go on after a day that broke a rule")
+	return command
 }
 
-// playAll plays days on several cores and returns their outcomes by seed; next is asked after each whether to go on.
-func playAll(ctx context.Context, r *runner.Runner, from, count uint64, workers int, next func(*sim.Outcome) bool) ([]*sim.Outcome, error) {
+// playSeeds plays days in parallel and returns their outcomes sorted by seed. It stops early when keepGoing returns false.
+func playSeeds(ctx context.Context, r *runner.Runner, from, count uint64, parallel int, keepGoing func(*sim.Outcome) bool) ([]*sim.Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	all, ctx := errgroup.WithContext(ctx)
-	all.SetLimit(max(1, workers))
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(1, parallel))
 	var mu sync.Mutex
-	var out []*sim.Outcome
+	var outcomes []*sim.Outcome
 	for seed := from; seed < from+count && ctx.Err() == nil; seed++ {
-		all.Go(func() error {
+		group.Go(func() error {
 			o, err := r.Play(ctx, sim.Request{Seed: seed})
 			if err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if out = append(out, o); !next(o) {
+			if outcomes = append(outcomes, o); !keepGoing(o) {
 				cancel()
 			}
 			return nil
 		})
 	}
-	failed := all.Wait()
-	slices.SortFunc(out, func(a, b *sim.Outcome) int { return cmp.Compare(a.Seed, b.Seed) })
+	failed := group.Wait()
+	slices.SortFunc(outcomes, func(a, b *sim.Outcome) int { return cmp.Compare(a.Seed, b.Seed) })
 	if errors.Is(failed, context.Canceled) {
 		failed = nil
 	}
-	return out, failed
+	return outcomes, failed
 }
 
-// simSummary prints what was played, and how often each pair of faults went on at once.
-func (a *app) simSummary(outcomes []*sim.Outcome) {
+// printSimSummary prints totals, and which pairs of faults overlapped most and least often.
+func (a *app) printSimSummary(outcomes []*sim.Outcome) {
 	calls, attempts, played := 0, 0, time.Duration(0)
 	pairs := map[string]int{}
 	for _, o := range outcomes {
@@ -167,65 +167,66 @@
 	}
 }
 
-// scriptOf reads what replay and shrink are given: a seed, or the file of a script.
-func scriptOf(arg string) (*sim.Script, error) {
+// loadScript returns the script for an argument of replay or shrink: a seed or a script file.
+func loadScript(arg string) (*sim.Script, error) {
 	if seed, err := strconv.ParseUint(arg, 10, 64); err == nil {
 		return sim.Draw(seed), nil
 	}
 	return sim.ReadScript(arg)
 }
 
-// simDay readies one day, named by its seed or file, to be played until Ctrl-C; done frees what that took.
-func (a *app) simDay(arg, wasm, overlay string) (script *sim.Script, play func(sim.Request) (*sim.Outcome, error), done func(), err error) {
-	if script, err = scriptOf(arg); err != nil {
+// prepareDay loads the script of a seed or file and returns a function that plays it until SIGINT or SIGTERM. done releases the
+// simulator.
+func (a *app) prepareDay(arg, wasm, overlay string) (script *sim.Script, play func(sim.Request) (*sim.Outcome, error), done func(), err error) {
+	if script, err = loadScript(arg); err != nil {
 		return nil, nil, nil, err
 	}
-	ctx, cancel := interruptible()
-	r, err := a.simulator(ctx, wasm, overlay)
+	ctx, cancel := interruptContext()
+	r, err := a.newSimulator(ctx, wasm, overlay)
 	if err != nil {
 		cancel()
 		return nil, nil, nil, err
 	}
-	play = func(q sim.Request) (*sim.Outcome, error) { return r.Play(ctx, q) }
+	play = func(request sim.Request) (*sim.Outcome, error) { return r.Play(ctx, request) }
 	return script, play, func() { r.Close(context.Background()); cancel() }, nil
 }
 
-func (a *app) simReplay() *cobra.Command {
+func (a *app) simReplayCommand() *cobra.Command {
 	var wasm, overlay string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "replay SEED|FILE",
 		Short: "Play one day again and print its whole course",
 		Example: `  burlpass sim replay 4711 | less
   burlpass sim replay internal/sim/corpus/overlap.json`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			script, play, done, err := a.simDay(args[0], wasm, overlay)
+			script, play, done, err := a.prepareDay(args[0], wasm, overlay)
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			defer done()
 			o, err := play(sim.Request{Script: script, Trace: true})
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			for _, line := range o.Trace {
 				fmt.Fprintln(a.stdout, line)
 			}
 			fmt.Fprintln(a.stdout, o.Summary())
 			if o.Bad() {
-				return wrong(errors.New("a rule was broken"))
+				return failure(errors.New("a rule was broken"))
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&wasm, "wasm", "", "a guest compiled before, in place of building one")
-	c.Flags().StringVar(&overlay, "overlay", "", "file for go build -overlay: play a changed program")
-	return c
+	command.Flags().StringVar(&wasm, "wasm", "", "a guest compiled before, in place of building one")
+	command.Flags().StringVar(&overlay, "overlay", "", "file for go build -overlay: play a changed program")
+	return command
 }
 
-func (a *app) simShrink() *cobra.Command {
+func (a *app) simShrinkCommand() *cobra.Command {
 	var wasm, overlay, out string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "shrink SEED|FILE",
 		Short: "Take away from a day that breaks a rule while it still does, and print the smallest script",
 		Long: `Removes faults, sidecars, workers and calls, halves lengths and calms the network, as long as a rule is broken that the
@@ -233,29 +234,29 @@
 		Example: "  burlpass sim shrink 4711 --out internal/sim/corpus/found.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			script, play, done, err := a.simDay(args[0], wasm, overlay)
+			script, play, done, err := a.prepareDay(args[0], wasm, overlay)
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			defer done()
-			small, o, err := sim.Shrink(script, func(s *sim.Script) (*sim.Outcome, error) { return play(sim.Request{Script: s}) })
+			smallest, o, err := sim.Shrink(script, func(s *sim.Script) (*sim.Outcome, error) { return play(sim.Request{Script: s}) })
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			fmt.Fprintln(a.stdout, o.Summary())
 			if out != "" {
-				return wrong(write(out, small.Write))
+				return failure(writeFile(out, smallest.Write))
 			}
-			return wrong(small.Write(a.stdout))
+			return failure(smallest.Write(a.stdout))
 		},
 	}
-	c.Flags().StringVar(&wasm, "wasm", "", "a guest compiled before, in place of building one")
-	c.Flags().StringVar(&overlay, "overlay", "", "file for go build -overlay: play a changed program")
-	c.Flags().StringVar(&out, "out", "", "write the script to this file")
-	return c
+	command.Flags().StringVar(&wasm, "wasm", "", "a guest compiled before, in place of building one")
+	command.Flags().StringVar(&overlay, "overlay", "", "file for go build -overlay: play a changed program")
+	command.Flags().StringVar(&out, "out", "", "write the script to this file")
+	return command
 }
 
-func (a *app) simList() *cobra.Command {
+func (a *app) simListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "list [FOLDER]",
 		Short:   "List the corpus: the days that once broke a rule, and why",
@@ -271,7 +272,7 @@
 			for _, path := range paths {
 				s, err := sim.ReadScript(path)
 				if err != nil {
-					return wrong(err)
+					return failure(err)
 				}
 				fmt.Fprintf(t, "%s\t%d faults\t%s\n", filepath.Base(path), len(s.Scenario.Faults), s.Why)
 			}
@@ -280,10 +281,10 @@
 	}
 }
 
-func (a *app) simMutants() *cobra.Command {
+func (a *app) simMutantsCommand() *cobra.Command {
 	var seeds uint64
 	var only []string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "mutants",
 		Short: "Put known faults into the program and tell after how many seeds each is found",
 		Long: `Builds the program with one fault at a time, by go build -overlay, and plays seeds until a rule breaks.
@@ -292,11 +293,11 @@
   burlpass sim mutants --only late-list --only older-list`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
 			dir, err := os.MkdirTemp("", "burlpass-mutants-")
 			if err != nil {
-				return wrong(err)
+				return failure(err)
 			}
 			defer os.RemoveAll(dir)
 			missed := 0
@@ -308,39 +309,39 @@
 				}
 				overlay, err := m.Overlay(".", dir)
 				if err != nil {
-					return wrong(err)
+					return failure(err)
 				}
-				found, as, err := a.findMutant(ctx, overlay, seeds)
+				found, rule, err := a.firstFailingSeed(ctx, overlay, seeds)
 				if err != nil {
-					return wrong(fmt.Errorf("mutant %s: %w", m.Name, err))
+					return failure(fmt.Errorf("mutant %s: %w", m.Name, err))
 				}
 				after := fmt.Sprintf("%d seeds", found)
 				if found == 0 {
 					missed++
 					after = fmt.Sprintf("not in %d", seeds)
 				}
-				fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Name, after, as, m.About)
+				fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Name, after, rule, m.About)
 				t.Flush()
 			}
 			if missed > 0 {
-				return wrong(fmt.Errorf("%d mutants were not found", missed))
+				return failure(fmt.Errorf("%d mutants were not found", missed))
 			}
 			return nil
 		},
 	}
-	c.Flags().Uint64Var(&seeds, "seeds", 100, "seeds played at most for each")
-	c.Flags().StringArrayVar(&only, "only", nil, "a mutant's name; may be repeated")
-	return c
+	command.Flags().Uint64Var(&seeds, "seeds", 100, "seeds played at most for each")
+	command.Flags().StringArrayVar(&only, "only", nil, "a mutant's name; may be repeated")
+	return command
 }
 
-// findMutant plays seeds from 1 on and returns the first that breaks a rule, 0 for none, and which rule that is.
-func (a *app) findMutant(ctx context.Context, overlay string, seeds uint64) (uint64, string, error) {
-	r, err := a.simulator(ctx, "", overlay)
+// firstFailingSeed plays seeds from 1 and returns the lowest played seed that breaks a rule, with the rule, or 0 if none does.
+func (a *app) firstFailingSeed(ctx context.Context, overlay string, seeds uint64) (uint64, string, error) {
+	r, err := a.newSimulator(ctx, "", overlay)
 	if err != nil {
 		return 0, "", err
 	}
 	defer r.Close(context.Background())
-	outcomes, err := playAll(ctx, r, 1, seeds, runtime.NumCPU(), func(o *sim.Outcome) bool { return !o.Bad() })
+	outcomes, err := playSeeds(ctx, r, 1, seeds, runtime.NumCPU(), func(o *sim.Outcome) bool { return !o.Bad() })
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -18,11 +18,11 @@
 	"burlpass/internal/lab/soak"
 )
 
-// soakRun is one call of lab soak.
+// soakRun is the state of one run of lab soak.
 type soakRun struct {
-	app    *app
-	build  build
-	folder string // of the days that failed
+	app       *app
+	build     build
+	logFolder string // logs of failed days
 
 	mu             sync.Mutex
 	passed, failed int
@@ -30,12 +30,12 @@
 	coverage       *soak.Coverage
 }
 
-func (a *app) labSoak() *cobra.Command {
+func (a *app) labSoakCommand() *cobra.Command {
 	var from uint64
 	var count, parallel int
-	var program, folder string
+	var buildText, folder string
 	var shrink bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "soak",
 		Short: "Play days of random, overlapping faults against a few dozen sidecars",
 		Long: `Plays one day for each seed: 24 sidecars, 12 backends, clients and discovery on loopback, and faults drawn from
@@ -46,31 +46,31 @@
   burlpass lab soak --from 17 --seeds 1 --shrink`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			b, err := parseBuild(program)
+			b, err := parseBuild(buildText)
 			if err != nil {
 				return err
 			}
-			ctx, cancel := interruptible()
+			ctx, cancel := interruptContext()
 			defer cancel()
-			r := &soakRun{app: a, build: b, folder: folder, coverage: soak.NewCoverage()}
-			return wrong(r.all(ctx, from, count, parallel, shrink))
+			r := &soakRun{app: a, build: b, logFolder: folder, coverage: soak.NewCoverage()}
+			return failure(r.playSeeds(ctx, from, count, parallel, shrink))
 		},
 	}
-	f := c.Flags()
-	f.Uint64Var(&from, "from", 1, "the first seed")
-	f.IntVar(&count, "seeds", 10, "number of seeds")
-	f.IntVar(&parallel, "parallel", 2, "days at a time")
-	f.StringVar(&program, "build", "self", "sidecar to play: self, or a program with its arguments")
-	f.StringVar(&folder, "keep", filepath.Join(os.TempDir(), "burlpass-soak"), "folder for the logs of days that failed")
-	f.BoolVar(&shrink, "shrink", false, "take faults out of a day that failed for as long as it still does")
-	return c
+	flags := command.Flags()
+	flags.Uint64Var(&from, "from", 1, "the first seed")
+	flags.IntVar(&count, "seeds", 10, "number of seeds")
+	flags.IntVar(&parallel, "parallel", 2, "days at a time")
+	flags.StringVar(&buildText, "build", "self", "sidecar to play: self, or a program with its arguments")
+	flags.StringVar(&folder, "keep", filepath.Join(os.TempDir(), "burlpass-soak"), "folder for the logs of days that failed")
+	flags.BoolVar(&shrink, "shrink", false, "take faults out of a day that failed for as long as it still does")
+	return command
 }
 
-// labFailing is the sidecar of days on which system calls fail.
-func (a *app) labFailing() *cobra.Command {
+// labFailingCommand runs the sidecar for days with failing system calls.
+func (a *app) labFailingCommand() *cobra.Command {
 	var seed uint64
-	c := &cobra.Command{
-		Use:   failingCommand,
+	command := &cobra.Command{
+		Use:   failingCommandName,
 		Short: "Run one sidecar as serve does, with system calls that fail in bursts",
 		Long: `Runs one sidecar as serve does. Calls to accept, connect, read and write fail in bursts drawn from the seed and
 EDGE_NAME, as the manual pages of Linux say that they may, and reads are short. lab soak plays it on one day in three.`,
@@ -79,36 +79,36 @@
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			name := fnv.New64a()
-			name.Write([]byte(a.getenv("EDGE_NAME"))) // each sidecar has its own bursts
+			name.Write([]byte(a.getenv("EDGE_NAME"))) // so that each sidecar has different bursts
 			network := faultnet.New(seed^name.Sum64(), a.getenv("EDGE_DISCOVERY"))
 			err := a.serveOn(network)
 			fmt.Fprintf(a.stderr, "event=failed_calls %s\n", network.Counts())
 			return err
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "what the bursts are drawn from")
-	return c
+	command.Flags().Uint64Var(&seed, "seed", 1, "what the bursts are drawn from")
+	return command
 }
 
-// failingCommand is the name of labFailing's command.
-const failingCommand = "failing"
+// failingCommandName is the name of the command of labFailingCommand.
+const failingCommandName = "failing"
 
-// buildOf is the program that a seed's day is played with.
-func (r *soakRun) buildOf(seed uint64) build {
+// buildForSeed returns the build for the day of a seed: with failing system calls on some of them.
+func (r *soakRun) buildForSeed(seed uint64) build {
 	if r.build.name != "self" || !soak.FailingCalls(seed) {
 		return r.build
 	}
-	return build{"self, calls fail", []string{r.build.command[0], "lab", failingCommand, "--seed", strconv.FormatUint(seed, 10)}}
+	return build{"self, calls fail", []string{r.build.command[0], "lab", failingCommandName, "--seed", strconv.FormatUint(seed, 10)}}
 }
 
-// all plays the days, some at a time, and prints the last line.
-func (r *soakRun) all(ctx context.Context, from uint64, count, parallel int, shrink bool) error {
+// playSeeds plays the days, up to parallel at once, and prints the summary.
+func (r *soakRun) playSeeds(ctx context.Context, from uint64, count, parallel int, shrink bool) error {
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
+	var group sync.WaitGroup
 	for range max(parallel, 1) {
-		players.Go(func() {
+		group.Go(func() {
 			for seed := range seeds {
-				r.one(ctx, seed, shrink)
+				r.playSeed(ctx, seed, shrink)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 		seeds <- seed
 	}
 	close(seeds)
-	players.Wait()
+	group.Wait()
 	r.printCoverage()
 	if len(r.void) > 0 {
 		slices.Sort(r.void)
@@ -129,8 +129,8 @@
 	return ctx.Err()
 }
 
-// one plays a seed's day and counts it.
-func (r *soakRun) one(ctx context.Context, seed uint64, shrink bool) {
+// playSeed plays the day of a seed and records its result.
+func (r *soakRun) playSeed(ctx context.Context, seed uint64, shrink bool) {
 	s := soak.Draw(seed)
 	day, findings := r.play(ctx, s, seed)
 	if ctx.Err() != nil {
@@ -161,21 +161,21 @@
 	for _, f := range s.Faults {
 		fmt.Fprintf(r.app.stdout, "  with %s\n", soak.Fault(f))
 	}
-	for _, finding := range findings[:min(len(findings), mostFindings)] {
+	for _, finding := range findings[:min(len(findings), maxPrintedFindings)] {
 		fmt.Fprintf(r.app.stdout, "  %s\n", finding)
 	}
 }
 
-// mostFindings bounds the lines printed of one day.
-const mostFindings = 12
+// maxPrintedFindings limits the findings printed per day.
+const maxPrintedFindings = 12
 
-// play plays a day and returns what it broke. The logs stay where it broke anything.
+// play plays a day and returns its findings. The logs are kept if there are any.
 func (r *soakRun) play(ctx context.Context, s *scenario.Scenario, seed uint64) (*report.Day, []string) {
-	folder := filepath.Join(r.folder, s.Name)
+	folder := filepath.Join(r.logFolder, s.Name)
 	if err := os.RemoveAll(folder); err != nil {
 		return nil, []string{err.Error()}
 	}
-	day, err := r.app.play(ctx, s, seed, r.buildOf(seed), nil, folder, true)
+	day, err := r.app.playDay(ctx, s, seed, r.buildForSeed(seed), nil, folder, true)
 	if err != nil {
 		return nil, []string{err.Error()}
 	}
@@ -195,7 +195,7 @@
 	return day, findings
 }
 
-// printCoverage prints how often each kind of fault was played, and how often each pair of kinds overlapped.
+// printCoverage prints how often each fault kind occurred, and how often each pair of kinds overlapped.
 func (r *soakRun) printCoverage() {
 	var kinds []string
 	for kind := range r.coverage.Kinds {
