--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -20,9 +20,9 @@
 
 // soakRun is the state of one run of lab soak.
 type soakRun struct {
-	app       *app
-	build     build
-	logFolder string // logs of failed days
+	app    *app
+	build  build
+	folder string // logs of failed days
 
 	mu             sync.Mutex
 	passed, failed int
@@ -52,7 +52,7 @@
 			}
 			ctx, cancel := interruptContext()
 			defer cancel()
-			r := &soakRun{app: a, build: b, logFolder: folder, coverage: soak.NewCoverage()}
+			r := &soakRun{app: a, build: b, folder: folder, coverage: soak.NewCoverage()}
 			return failure(r.playSeeds(ctx, from, count, parallel, shrink))
 		},
 	}
@@ -132,7 +132,7 @@
 // playSeed plays the day of a seed and records its result.
 func (r *soakRun) playSeed(ctx context.Context, seed uint64, shrink bool) {
 	s := soak.Draw(seed)
-	day, findings := r.play(ctx, s, seed)
+	day, findings := r.playDay(ctx, s, seed)
 	if ctx.Err() != nil {
 		return
 	}
@@ -154,7 +154,7 @@
 	}
 	if shrink {
 		s = soak.Shrink(s, func(smaller *scenario.Scenario) bool {
-			_, found := r.play(ctx, smaller, seed)
+			_, found := r.playDay(ctx, smaller, seed)
 			return len(found) > 0
 		})
 	}
@@ -169,9 +169,9 @@
 // maxPrintedFindings limits the findings printed per day.
 const maxPrintedFindings = 12
 
-// play plays a day and returns its findings. The logs are kept if there are any.
-func (r *soakRun) play(ctx context.Context, s *scenario.Scenario, seed uint64) (*report.Day, []string) {
-	folder := filepath.Join(r.logFolder, s.Name)
+// playDay plays a day and returns its findings. The logs are kept if there are any.
+func (r *soakRun) playDay(ctx context.Context, s *scenario.Scenario, seed uint64) (*report.Day, []string) {
+	folder := filepath.Join(r.folder, s.Name)
 	if err := os.RemoveAll(folder); err != nil {
 		return nil, []string{err.Error()}
 	}
--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -75,7 +75,7 @@
 	}
 	switch e.Action {
 	case "output":
-		run.addOutput(e)
+		run.handle(e)
 	case "run", "pass", "fail", "skip":
 		if e.Test != "" {
 			run.results[e.Test] = e.Action
@@ -90,7 +90,7 @@
 	}
 }
 
-func (p *packageRun) addOutput(e event) {
+func (p *packageRun) handle(e event) {
 	p.output = append(p.output, e)
 	if p.fatal != "" {
 		return
