--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -97,7 +97,7 @@
 			voters = append(voters, voter.Peer(p))
 		}
 		voterMember, err := voter.Open(ctx, voter.Config{Cluster: c.Name, Name: c.Member, Folder: c.Folder, Log: c.Log,
-			Voters: voters, Bounds: record.DefaultBounds(), Domains: c.domains(), Dial: dial, Limits: c.Limits, Reign: c.leaderTask()})
+			Voters: voters, Bounds: record.DefaultBounds(), Domains: c.domains(), Dial: dial, Limits: c.Limits, WhileLeading: c.leaderTask()})
 		if err != nil {
 			ln.Close()
 			return nil, fmt.Errorf("cluster: %w", err)
--- a/internal/cluster/voter/clock.go
+++ b/internal/cluster/voter/clock.go
@@ -78,10 +78,10 @@
 
 // proposeClockEntries periodically proposes a clock entry with the voters' readings, until the leadership ends.
 func (v *Voter) proposeClockEntries(ctx context.Context, run *raftRun) {
-	if v.c.Timings.Clock < 0 {
+	if v.c.Timings.ClockInterval < 0 {
 		return
 	}
-	ticker := time.NewTicker(v.c.Timings.Clock)
+	ticker := time.NewTicker(v.c.Timings.ClockInterval)
 	defer ticker.Stop()
 	for {
 		if raw := v.readClocks(ctx, run); raw != nil {
--- a/internal/cluster/voter/config.go
+++ b/internal/cluster/voter/config.go
@@ -36,7 +36,7 @@
 	CommitInterval    time.Duration // without new writes, a follower learns the commit index within one to two times this
 	DiskStall         time.Duration // a leader closes its connections while a disk write takes longer than this
 	CallTimeout       time.Duration // timeout of one call between voters; a snapshot transfer gets this much per 256 KiB
-	Clock             time.Duration // between two clock entries; negative disables them
+	ClockInterval     time.Duration // between two clock entries; negative disables them
 	JoinInterval      time.Duration // between two attempts to form or join the cluster
 	LeaderWait        time.Duration // how long a write or a consistent read is retried while there is no leader
 	Snapshot          time.Duration // minimum time between two checks whether a snapshot is due
@@ -72,9 +72,9 @@
 	Entries int // entries kept for followers; 0 means the replica's default
 	Timings Timings
 	Log     *slog.Logger // nil discards all output
-	// Reign, if set, runs while this voter is the leader and has applied everything committed in earlier terms. It must return
+	// WhileLeading, if set, runs while this voter is the leader and has applied everything committed in earlier terms. It must return
 	// soon after its context is done.
-	Reign func(ctx context.Context, m api.Member)
+	WhileLeading func(ctx context.Context, m api.Member)
 	// Dial opens all connections to other voters; nil means net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Limits returns the fleet's limits for a state of the record. The leader calls it when the record has changed. If it is nil,
@@ -118,7 +118,7 @@
 	t.HeartbeatInterval = cmp.Or(t.HeartbeatInterval, min(DefaultHeartbeatInterval, t.LeaderLease/3))
 	t.CommitInterval, t.CallTimeout, t.DiskStall = cmp.Or(t.CommitInterval, DefaultCommitInterval),
 		cmp.Or(t.CallTimeout, DefaultCallTimeout), cmp.Or(t.DiskStall, DefaultDiskStall)
-	t.Clock, t.JoinInterval, t.LeaderWait = cmp.Or(t.Clock, DefaultClockInterval),
+	t.ClockInterval, t.JoinInterval, t.LeaderWait = cmp.Or(t.ClockInterval, DefaultClockInterval),
 		cmp.Or(t.JoinInterval, DefaultJoinInterval), cmp.Or(t.LeaderWait, DefaultLeaderWait)
 	t.Snapshot = cmp.Or(t.Snapshot, DefaultSnapshot)
 	t.Threshold, t.Trailing = cmp.Or(t.Threshold, DefaultThreshold), cmp.Or(t.Trailing, DefaultTrailing)
--- a/internal/cluster/voter/lead.go
+++ b/internal/cluster/voter/lead.go
@@ -93,8 +93,8 @@
 	v.setReadyTerm(term)
 	var wg sync.WaitGroup
 	wg.Go(func() { v.allocateLeases(ctx, run, term) })
-	if v.c.Reign != nil {
-		wg.Go(func() { v.c.Reign(ctx, v) })
+	if v.c.WhileLeading != nil {
+		wg.Go(func() { v.c.WhileLeading(ctx, v) })
 	}
 	v.proposeClockEntries(ctx, run)
 	wg.Wait()
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -197,7 +197,7 @@
 	c.nodes[0].write("before", "w0", 0)
 	c.eventually("the record has a time", func() bool { return c.nodes[1].v.Status().AgeMs >= 0 })
 	c.nodes[1].close()
-	c.timings.Clock = -1
+	c.timings.ClockInterval = -1
 	c.nodes[0].close()
 	c.nodes[2].close()
 	c.open()
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -59,9 +59,9 @@
 	for i := range 3 {
 		v, err := voter.Open(context.Background(), voter.Config{Cluster: "plant", Name: peers[i].Name, Folder: t.TempDir(), Voters: peers,
 			Bounds: record.DefaultBounds(), Domains: append(rules.Domains(retire.Env), retire.Domains()...),
-			Timings: voter.Timings{Clock: 20 * time.Millisecond}, Log: logging.Discard(),
+			Timings: voter.Timings{ClockInterval: 20 * time.Millisecond}, Log: logging.Discard(),
 			Now: func() time.Time { return time.UnixMilli(c.nowMs.Load() + c.skewMs[i].Load()) },
-			Reign: func(ctx context.Context, m api.Member) {
+			WhileLeading: func(ctx context.Context, m api.Member) {
 				New(slog.New(slog.NewTextHandler(t.Output(), nil))).Run(ctx, m, 20*time.Millisecond)
 			}})
 		if err != nil {
