--- a/internal/clustertest/virtual/mutants.go
+++ b/internal/clustertest/virtual/mutants.go
@@ -17,7 +17,7 @@
 	}
 	return []mutants.Mutant{
 		lease("lease-outlives", "a lease is used after its end", "holder.go", "const length = Length - Length/Drift", "const length = 3 * Length"),
-		lease("leases-forgotten", "a new leader counts nothing as out", "book.go", "began: now, limits:", "began: now - time.Hour, limits:"),
+		lease("leases-forgotten", "a new leader counts nothing as out", "book.go", "startedAt: now, limits:", "startedAt: now - time.Hour, limits:"),
 		one("log-unsynced", "a voter's log, term and vote are written and not synced", lost,
 			"voter/disk/store.go", "raftboltdb.New(raftboltdb.Options{Path: s.path,", "raftboltdb.New(raftboltdb.Options{NoSync: true, Path: s.path,"),
 		{Mutant: sim.Mutant{Name: "observer-unsynced", About: "what an observer has shown is written and not synced, in either file", Edits: []sim.Edit{
